--- a/packages/decisions/src/ebonyhaven_decisions/_assembly.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_assembly.py
@@ -13,7 +13,7 @@
 from ebonyhaven_decisions._routing import (
     LeastConnectionsRouter,
     LoadAwareRouter,
-    Place,
+    Locality,
     RoundRobinRouter,
 )
 from ebonyhaven_decisions._scheduler import Scheduler
@@ -32,7 +32,7 @@
     scheduling: Scheduling,
     policies: Mapping[str, ClassPolicy],
     *,
-    place: Place,
+    place: Locality,
     random_source: random.Random,
     now: float,
 ) -> Scheduler:
@@ -42,7 +42,7 @@
     ----------
     scheduling : Scheduling
     policies : mapping of str to ClassPolicy
-    place : Place
+    place : Locality
         Where the instance runs.
     random_source : random.Random
     now : float
--- a/packages/decisions/src/ebonyhaven_decisions/_crashes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_crashes.py
@@ -1,13 +1,15 @@
-"""Requests that make engines crash: who is to blame, and when to stop.
-
-An engine that dies takes its whole batch with it, so one death alone blames
-nobody. Evidence is kept per request content, so it outlives a resubmission
-under a new idempotency key. A death is *strong* evidence when the attempt had
-made little progress: a content that crashes engines does so again soon after it
-is continued, while an innocent neighbour makes progress on its next engine. A
-neighbour that follows the guilty content to its next engine dies there early as
-well; it is told apart by the death before: where some content had no token yet, that
-death does not count against contents that had.
+"""Detection of request contents that crash engines.
+
+A dying engine fails its whole batch, so a single death does not identify the
+content that caused it. Evidence is recorded by request content, so that it also
+applies to a resubmission under a new idempotency key. A death is *strong* evidence
+if the attempt had made little progress: a content that crashes engines does so again
+soon after it is continued, while other contents of the batch make progress on their
+next engine.
+
+A content that is continued on the same engine as the crashing one fails there early
+as well. The previous death distinguishes the two: if some content had produced no
+token at a death, that death does not count against contents that had.
 """
 
 from __future__ import annotations
@@ -22,14 +24,15 @@
 EVIDENCE_TTL_S = 600.0
 EVIDENCE_WAIT_S = 1.5
 MAX_CONTENTS = 4096
-SAME_DEATH_S = 30.0
+SAME_DEATH_WINDOW_S = 30.0
 
 
 class CrashVerdict(enum.Enum):
-    """What may be done with a request content.
+    """Decision about a request content.
 
-    ``UNDECIDED`` lasts for `EVIDENCE_WAIT_S` after a death at which the content had
-    tokens: another instance may be about to tell of one that had none.
+    ``UNDECIDED`` lasts for up to `EVIDENCE_WAIT_S` after the last death if the content
+    had produced tokens at one of the deaths that count: another instance may yet
+    report that a content without any token was affected by the same death.
     """
 
     CLEAR = "clear"
@@ -39,51 +42,51 @@
 
 
 class CrashEvidence(NamedTuple):
-    """One engine death seen by a run of a content.
+    """Death of an engine that was running a content.
 
     Parameters
     ----------
     server : str
         Backend server that died.
     at : float
-        Time of the death, seconds on the reader's clock.
-    strong : bool
+        Time of the death on the clock of this instance, seconds.
+    is_strong : bool
         Whether the attempt had made little progress.
-    idle : bool
-        Whether the attempt had made no token.
+    is_tokenless : bool
+        Whether the attempt had produced no token.
     """
 
     server: str
     at: float
-    strong: bool
-    idle: bool = False
+    is_strong: bool
+    is_tokenless: bool = False
 
 
 class CrashLedger:
-    """Evidence against request contents, bounded in size and age.
+    """Evidence by request content, bounded in size and age.
 
     Parameters
     ----------
     max_deaths : int
-        Deaths that stop a content when the last of them is strong.
+        Number of deaths that stop a content if the last one is strong evidence.
     max_weak_deaths : int
-        Deaths that stop a content in any case.
+        Number of deaths that stop a content in any case.
     """
 
-    __slots__ = ("_evidence", "_idle_deaths", "_max_deaths", "_max_weak_deaths")
+    __slots__ = ("_evidence", "_max_deaths", "_max_weak_deaths", "_tokenless_deaths")
 
     def __init__(
         self, *, max_deaths: int = MAX_DEATHS, max_weak_deaths: int = MAX_WEAK_DEATHS
     ) -> None:
         self._max_deaths = max_deaths
         self._max_weak_deaths = max_weak_deaths
-        self._idle_deaths: dict[str, float] = {}
+        self._tokenless_deaths: dict[str, float] = {}
         self._evidence: dict[str, dict[str, CrashEvidence]] = {}
 
     def record_death(
         self, content: str, *, server: str, progress_tokens: int, now: float
     ) -> None:
-        """Add the death of an engine that was running a content.
+        """Record the death of an engine that was running a content.
 
         Parameters
         ----------
@@ -96,8 +99,8 @@
         now : float
             Present time, seconds.
         """
-        strong = progress_tokens < STRONG_PROGRESS_TOKENS
-        self._add(content, CrashEvidence(server, now, strong, progress_tokens == 0))
+        is_strong = progress_tokens < STRONG_PROGRESS_TOKENS
+        self._add(content, CrashEvidence(server, now, is_strong, progress_tokens == 0))
 
     def judge(self, content: str, *, now: float) -> CrashVerdict:
         """Decide whether a content may run again.
@@ -121,10 +124,10 @@
         if not evidence:
             return CrashVerdict.CLEAR
         last = max(evidence, key=lambda item: item.at)
-        counted = [item for item in evidence if self._counts(item)]
-        if len(counted) >= self._max_deaths and last.strong:
-            certain = all(item.idle for item in counted)
-            if certain or now - last.at >= EVIDENCE_WAIT_S:
+        counted = [item for item in evidence if self._is_counted(item)]
+        if len(counted) >= self._max_deaths and last.is_strong:
+            is_certain = all(item.is_tokenless for item in counted)
+            if is_certain or now - last.at >= EVIDENCE_WAIT_S:
                 return CrashVerdict.STOPPED
             return CrashVerdict.UNDECIDED
         if len(evidence) >= self._max_weak_deaths:
@@ -139,7 +142,7 @@
         now : float
             Present time, seconds; ``at`` in the result is an age instead.
         limit : int
-            Largest number of entries.
+            Maximum number of entries.
 
         Returns
         -------
@@ -158,36 +161,36 @@
     def merge(
         self, entries: Iterable[tuple[str, CrashEvidence]], *, now: float
     ) -> None:
-        """Take evidence of another instance into account.
+        """Add the evidence of another instance.
 
         Parameters
         ----------
         entries : iterable of (str, CrashEvidence)
-            As returned by `export` of another instance.
+            Result of `export` on the other instance.
         now : float
             Present time, seconds.
         """
         for content, item in entries:
             self._add(content, item._replace(at=now - item.at))
 
-    def view(self) -> Mapping[str, Mapping[str, CrashEvidence]]:
+    def read_evidence(self) -> Mapping[str, Mapping[str, CrashEvidence]]:
         """Return all evidence by content and backend server."""
         return self._evidence
 
-    def _counts(self, item: CrashEvidence) -> bool:
-        """Tell whether no other content is likelier to have caused a death."""
-        if item.idle:
+    def _is_counted(self, item: CrashEvidence) -> bool:
+        """Return whether no other content is more likely to have caused a death."""
+        if item.is_tokenless:
             return True
-        idle_at = self._idle_deaths.get(item.server)
-        return idle_at is None or abs(item.at - idle_at) > SAME_DEATH_S
+        tokenless_at = self._tokenless_deaths.get(item.server)
+        return tokenless_at is None or abs(item.at - tokenless_at) > SAME_DEATH_WINDOW_S
 
     def _add(self, content: str, item: CrashEvidence) -> None:
-        """Keep the first report of each death, and drop the oldest content."""
-        if item.idle:
-            self._idle_deaths.pop(item.server, None)
-            self._idle_deaths[item.server] = item.at
-        if len(self._idle_deaths) > MAX_CONTENTS:
-            self._idle_deaths.pop(next(iter(self._idle_deaths)))
+        """Keep the first report of each death and evict the oldest content."""
+        if item.is_tokenless:
+            self._tokenless_deaths.pop(item.server, None)
+            self._tokenless_deaths[item.server] = item.at
+        if len(self._tokenless_deaths) > MAX_CONTENTS:
+            self._tokenless_deaths.pop(next(iter(self._tokenless_deaths)))
         items = self._evidence.setdefault(content, {})
         known = items.get(item.server)
         if known is None or item.at - known.at > EVIDENCE_TTL_S:
--- a/packages/decisions/src/ebonyhaven_decisions/_dispatching.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_dispatching.py
@@ -11,7 +11,7 @@
 from ebonyhaven_decisions._flights import Flight, FlightTable
 from ebonyhaven_decisions._policies import ClassPolicy
 from ebonyhaven_decisions._reservations import Reservation, Reservations
-from ebonyhaven_decisions._routing import SPARE_SLOTS, Room, Router
+from ebonyhaven_decisions._routing import SPARE_SLOTS, Router, SlotAllowance
 from ebonyhaven_decisions._server_table import ServerTable
 from ebonyhaven_decisions._servers import (
     ServerEntry,
@@ -117,7 +117,7 @@
         """
         room = self._compute_room(item, yields, now)
         return self.router.choose(
-            item, self.table, room=room, excluded=excluded, now=now
+            item, self.table, allowance=room, excluded=excluded, now=now
         )
 
     def dispatch(self, item: WorkItem, choice: Choice, now: float) -> Dispatch:
@@ -177,11 +177,11 @@
             None when no usable server is known.
         """
         for room in (
-            Room(may_exceed_limit=True, spare_slots=0),
-            Room(is_unbounded=True),
+            SlotAllowance(may_exceed_limit=True, spare_slots=0),
+            SlotAllowance(is_unbounded=True),
         ):
             choice = self.router.choose(
-                item, self.table, room=room, excluded=excluded, now=now
+                item, self.table, allowance=room, excluded=excluded, now=now
             )
             if choice is not None:
                 return self.dispatch(item, choice, now)
@@ -193,7 +193,7 @@
         if flight is None or flight.has_first_token:
             return
         flight.has_first_token = True
-        flight.server.record_prefilled(flight.prefill_tokens)
+        flight.server.release_prefill_tokens(flight.prefill_tokens)
         flight.server.record_first_token(
             predicted_s=flight.choice.predicted_first_token_s,
             observed_s=now - flight.dispatched_at,
@@ -356,15 +356,15 @@
         self.ledger.charge(key, used - flight.charged, now)
         flight.charged = used
 
-    def _compute_room(self, item: WorkItem, yields: bool, now: float) -> Room:
+    def _compute_room(self, item: WorkItem, yields: bool, now: float) -> SlotAllowance:
         if not self._has_limits:
-            return Room(is_unbounded=True)
+            return SlotAllowance(is_unbounded=True)
         policy = self.policies[item.class_name]
         is_urgent = policy.reserved_share > 0.0
         is_behind = self.is_underserved(item, now)
         kept_from = self.read_reservation(item.model, policy.rank, now)
         kept_for = self.read_reservation(item.model, policy.rank + 1, now)
-        return Room(
+        return SlotAllowance(
             reserved_share=kept_from.share + (YIELD_SHARE if yields else 0.0),
             may_exceed_limit=is_urgent and not yields,
             spare_slots=0 if is_behind else SPARE_SLOTS,
--- a/packages/decisions/src/ebonyhaven_decisions/_flights.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_flights.py
@@ -134,7 +134,7 @@
             return None
         flight.server.record_end(now)
         if not flight.has_first_token:
-            flight.server.record_prefilled(flight.prefill_tokens)
+            flight.server.release_prefill_tokens(flight.prefill_tokens)
         self._read(flight.item.class_name).count(-1, now)
         key = (flight.item.class_name, flight.item.workspace)
         self._workspaces[key] -= 1
--- a/packages/decisions/src/ebonyhaven_decisions/_load_digests.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_load_digests.py
@@ -1,4 +1,4 @@
-"""Digests of server load and health that instances send to each other."""
+"""Digests of server load and health that instances exchange."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 
 class LoadEntry(NamedTuple):
-    """Load and health of one backend server as one instance saw it.
+    """Load and health of one backend server as seen by one instance.
 
     Parameters
     ----------
     server : str
     sequences : int
-        In the batch and in the queue of the server.
+        Sequences in the batch and in the queue of the server.
     capacity : int
     pace_ms : float
+        Gap between tokens, milliseconds.
     age_s : float
-        Seconds since the measurement.
+        Age of the measurement, or of the last failure of a suspect server, seconds.
     is_leaving : bool
     is_suspect : bool
     """
@@ -41,7 +42,7 @@
 def build_load_digest(
     table: ServerTable, now: float, random_source: random.Random
 ) -> list[LoadEntry]:
-    """Return the entries that other instances profit from most.
+    """Return the digest of the servers with current information.
 
     Parameters
     ----------
@@ -49,14 +50,14 @@
     now : float
         Seconds.
     random_source : random.Random
-        Picks among the servers when there are more than fit.
+        Samples the servers when the digest cannot contain all of them.
 
     Returns
     -------
     list of LoadEntry
-        At most `MAX_LOAD_ENTRIES`; leaving and suspect servers come first.
+        At most `MAX_LOAD_ENTRIES`, starting with leaving and suspect servers.
     """
-    fresh = [state for state in table if _is_worth_telling(state, now)]
+    fresh = [state for state in table if _is_current(state, now)]
     urgent = [state for state in fresh if state.is_leaving or state.is_suspect(now)]
     others = [state for state in fresh if state not in urgent]
     count = max(MAX_LOAD_ENTRIES - len(urgent), 0)
@@ -68,14 +69,14 @@
 def merge_load_digest(
     table: ServerTable, entries: Sequence[LoadEntry], gap_limit_ms: float, now: float
 ) -> None:
-    """Take over what another instance saw later than this one.
+    """Apply the entries of another instance that are newer than local reports.
 
     Parameters
     ----------
     table : ServerTable
     entries : sequence of LoadEntry
     gap_limit_ms : float
-        Gap that a batch may reach, milliseconds.
+        Maximum gap between tokens, milliseconds.
     now : float
         Seconds.
     """
@@ -85,7 +86,7 @@
         if state is None or measured_at <= state.reported_at:
             continue
         if entry.is_suspect:
-            state.record_hearsay(now, measured_at)
+            state.record_remote_failure(now, measured_at)
             continue
         report = ServerReport(
             running=entry.sequences,
@@ -98,19 +99,19 @@
         state.record_report(report, gap_limit_ms)
 
 
-def _is_worth_telling(state: ServerState, now: float) -> bool:
+def _is_current(state: ServerState, now: float) -> bool:
     return now - state.reported_at <= MAX_REPORT_AGE_S or state.is_suspect(now)
 
 
 def _build_entry(state: ServerState, now: float) -> LoadEntry:
     is_suspect = state.is_suspect(now)
-    seen_at = state.failed_at if is_suspect else state.reported_at
+    observed_at = state.failed_at if is_suspect else state.reported_at
     return LoadEntry(
         server=state.name,
         sequences=state.reported_sequences,
         capacity=state.capacity,
         pace_ms=round(state.pace_ms, 2),
-        age_s=round(now - seen_at, 3),
+        age_s=round(now - observed_at, 3),
         is_leaving=state.is_leaving,
         is_suspect=is_suspect,
     )
--- a/packages/decisions/src/ebonyhaven_decisions/_outcomes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_outcomes.py
@@ -1,4 +1,4 @@
-"""Tagged outcomes of a request that did not complete."""
+"""Outcomes of requests that did not complete."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     Parameters
     ----------
     tag : OutcomeTag
-        ``NOT_RUN`` is proved: no engine and no service ran the request.
-        ``FAILED`` means that it ran, ``UNKNOWN`` that it may have run.
+        ``NOT_RUN`` is only used with proof that no engine and no service ran the
+        request. ``FAILED`` means that it ran, ``UNKNOWN`` that it may have run.
     step : str
-        Step of request processing at which the error arose.
+        Step of request processing at which the error occurred.
     peer : str
-        Name of the process that was being talked to, or ``"self"``.
+        Name of the process involved in that step, or ``"self"``.
     reason : str
-        One sentence for the caller.
+        Explanation for the caller, one sentence.
     status : int
         HTTP status code.
     retry_after_s : float or None
@@ -47,16 +47,16 @@
 
 
 def qualify_outcome(outcome: Outcome, *, first_submission: bool) -> Outcome:
-    """Return what may be told truthfully of a request that was resubmitted.
+    """Return the outcome to report for a request that may be a resubmission.
 
-    This instance knows that it did not run the request. Where an earlier
-    submission of the same key may have run elsewhere, that does not prove that
-    the request has not run.
+    An instance only knows that it did not run the request itself. If an earlier
+    submission of the same key may have run on another instance, ``NOT_RUN`` is
+    unproved and becomes ``UNKNOWN``, except for steps before acceptance.
 
     Parameters
     ----------
     outcome : Outcome
-        What this instance knows.
+        Outcome on this instance.
     first_submission : bool
         Whether no earlier submission of the key can have run.
 
@@ -73,12 +73,12 @@
 
 
 class RequestFailure(Exception):
-    """Raised when a request ends with an outcome other than completion.
+    """Raised when a request does not complete.
 
     Parameters
     ----------
     outcome : Outcome
-        What is told to the caller.
+        Outcome that is reported to the caller.
     """
 
     def __init__(self, outcome: Outcome):
--- a/packages/decisions/src/ebonyhaven_decisions/_placement.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_placement.py
@@ -1,7 +1,7 @@
-"""Which backend servers hold which models, and the orders that bring it about.
+"""Assignment of models to backend servers and the orders that establish it.
 
-Orders are level-triggered: each round compares what is wanted with what the
-servers say, so a lost, late or repeated order is made good by a later round.
+Orders are level-triggered: each round compares the desired state with the state
+that the servers report, so a later round corrects a lost, late or repeated order.
 """
 
 from __future__ import annotations
@@ -17,43 +17,44 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class PlacementPolicy:
-    """When models move.
+    """Thresholds for loading and unloading models.
 
     Parameters
     ----------
     high_pressure : float
-        Pressure above which a model gets another server.
+        Pressure above which a model is loaded on another server.
     low_pressure : float
-        Pressure below which it gives one up, computed for what would be left.
-    raise_after_s : float
-        Seconds that the pressure must stay high.
-    lower_after_s : float
-        Seconds that it must stay low.
+        Pressure below which a model is unloaded from a server. It is compared with
+        the pressure that the remaining servers would have.
+    scale_up_after_s : float
+        Time for which the pressure must stay high, seconds.
+    scale_down_after_s : float
+        Time for which the pressure must stay low, seconds.
     """
 
     high_pressure: float = 0.8
     low_pressure: float = 0.4
-    raise_after_s: float = 10.0
-    lower_after_s: float = 120.0
+    scale_up_after_s: float = 10.0
+    scale_down_after_s: float = 120.0
 
 
 class PlacedServer(NamedTuple):
-    """A backend server as it was read back.
+    """State of a backend server as read from the server.
 
     Parameters
     ----------
     name, data_centre : str
-        Name and place.
+        Name and data centre.
     models : frozenset of str
-        Models that it has loaded.
+        Loaded models.
     parts : frozenset of str
-        Adapters and versions that it has loaded, as ``MODEL/NAME``.
+        Loaded adapters and versions, as ``MODEL/NAME``.
     load : float
-        Sequences running and waiting over its capacity.
-    pace : float
-        Gap between its tokens over the strictest target of a class.
+        Running and waiting sequences divided by the capacity.
+    gap_ratio : float
+        Gap between tokens divided by the strictest gap target of a class.
     leaving : bool
-        Whether it takes no new work.
+        Whether the server accepts no new work.
     """
 
     name: str
@@ -61,24 +62,24 @@
     models: frozenset[str]
     parts: frozenset[str] = frozenset()
     load: float = 0.0
-    pace: float = 0.0
+    gap_ratio: float = 0.0
     leaving: bool = False
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs or waits on it."""
+        """Whether no sequence runs or waits on the server."""
         return self.load == 0.0
 
 
 class OrderKind(enum.StrEnum):
-    """What an order does."""
+    """Action of an order."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class OrderTarget(enum.StrEnum):
-    """What an order is about."""
+    """Object of an order."""
 
     MODEL = "model"
     ADAPTER = "adapter"
@@ -86,7 +87,7 @@
 
 
 class Order(NamedTuple):
-    """One order to one backend server."""
+    """Order to one backend server."""
 
     server: str
     kind: OrderKind
@@ -96,14 +97,14 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class Placement:
-    """How many servers each model wants, and since when it wants another count.
+    """Desired number of servers of each model, with the state of its adjustment.
 
     Parameters
     ----------
     counts : dict of str to int
-        Servers wanted by each model.
+        Desired number of servers by model.
     high_since, low_since : dict of str to float
-        When the pressure began to be high or low, in seconds.
+        Time since which the pressure has been high or low, seconds.
     """
 
     counts: Mapping[str, int] = attrs.field(factory=dict)
@@ -119,45 +120,48 @@
     policy: PlacementPolicy,
     now: float,
 ) -> Placement:
-    """Return how many servers each model of a pool wants now.
+    """Return the desired number of servers of each model of a pool.
 
     A count changes by one at a time, after the pressure has stayed beyond its
-    bound for the time of the policy; it begins at what the servers hold.
+    threshold for the time of the policy. It starts at the number of servers that
+    have the model loaded.
 
     Parameters
     ----------
     placement : Placement
         The result of the previous call, or an empty one.
     pool : Pool
-        The pool as declared.
+        Declared pool.
     servers : sequence of PlacedServer
-        All its backend servers.
+        All backend servers of the pool.
     policy : PlacementPolicy
-        Bounds and times.
+        Thresholds.
     now : float
-        Seconds of any steady clock.
+        Time of any monotonic clock, seconds.
     """
     counts: dict[str, int] = {}
     high_since: dict[str, float] = {}
     low_since: dict[str, float] = {}
     usable = [server for server in servers if not server.leaving]
-    least = _count_least(pool, usable)
+    minimum = _count_minimum(pool, usable)
     for model in pool.models:
-        holders = [server for server in usable if model in server.models]
-        count = max(placement.counts.get(model, len(holders)), least)
-        pressure = _measure_pressure(holders)
-        rest = pressure * count / (count - 1) if count > 1 else float("inf")
+        loaded_servers = [server for server in usable if model in server.models]
+        count = max(placement.counts.get(model, len(loaded_servers)), minimum)
+        pressure = _measure_pressure(loaded_servers)
+        remaining_pressure = (
+            pressure * count / (count - 1) if count > 1 else float("inf")
+        )
         if pressure > policy.high_pressure:
             high_since[model] = placement.high_since.get(model, now)
-        elif rest < policy.low_pressure:
+        elif remaining_pressure < policy.low_pressure:
             low_since[model] = placement.low_since.get(model, now)
-        if now - high_since.get(model, now) >= policy.raise_after_s:
+        if now - high_since.get(model, now) >= policy.scale_up_after_s:
             count += 1
             del high_since[model]
-        elif now - low_since.get(model, now) >= policy.lower_after_s:
+        elif now - low_since.get(model, now) >= policy.scale_down_after_s:
             count -= 1
             del low_since[model]
-        counts[model] = min(max(count, least), len(usable))
+        counts[model] = min(max(count, minimum), len(usable))
     return Placement(counts=counts, high_since=high_since, low_since=low_since)
 
 
@@ -167,22 +171,22 @@
     models: Mapping[str, Model],
     servers: Iterable[PlacedServer],
 ) -> list[Order]:
-    """Return the orders that are still to be given, the most urgent first.
+    """Return the pending orders, the most urgent first.
 
-    At most one order goes to a server. Servers that hold a model get its
-    adapters and versions. A model is only unloaded from an idle server, and only
-    while enough other servers hold it in the same data centre.
+    Each server gets at most one order. Servers that have a model loaded also load
+    its adapters and versions. A model is only unloaded from an idle server, and
+    only while enough other servers in the same data centre have it loaded.
 
     Parameters
     ----------
     placement : Placement
-        Servers wanted by each model.
+        Desired number of servers by model.
     pool : Pool
-        The pool as declared.
+        Declared pool.
     models : dict of str to Model
         Declared models.
     servers : iterable of PlacedServer
-        All servers of the pool as read back.
+        All servers of the pool.
     """
     usable = [server for server in servers if not server.leaving]
     orders: dict[str, Order] = {}
@@ -190,7 +194,7 @@
         for order in _list_model_loads(model, placement, pool, usable):
             orders.setdefault(order.server, order)
     for server in usable:
-        for order in _list_part_loads(server, pool, models):
+        for order in _list_variant_loads(server, pool, models):
             orders.setdefault(server.name, order)
     for model in pool.models:
         order = _find_unload(model, placement, pool, usable)
@@ -199,49 +203,53 @@
     return list(orders.values())
 
 
-def is_done(order: Order, server: PlacedServer) -> bool:
-    """Return whether a server that was read back shows the effect of an order."""
-    held = server.models if order.target is OrderTarget.MODEL else server.parts
-    return (order.name in held) == (order.kind is OrderKind.LOAD)
+def is_order_applied(order: Order, server: PlacedServer) -> bool:
+    """Return whether the state of a server shows the effect of an order."""
+    loaded = server.models if order.target is OrderTarget.MODEL else server.parts
+    return (order.name in loaded) == (order.kind is OrderKind.LOAD)
 
 
-def _count_least(pool: Pool, servers: Sequence[PlacedServer]) -> int:
+def _count_minimum(pool: Pool, servers: Sequence[PlacedServer]) -> int:
     sizes: dict[str, int] = {}
     for server in servers:
         sizes[server.data_centre] = sizes.get(server.data_centre, 0) + 1
     return sum(min(size, pool.minimum_servers) for size in sizes.values())
 
 
-def _measure_pressure(holders: Sequence[PlacedServer]) -> float:
-    if not holders:
+def _measure_pressure(loaded_servers: Sequence[PlacedServer]) -> float:
+    if not loaded_servers:
         return 0.0
-    load = sum(server.load for server in holders) / len(holders)
-    pace = sum(server.pace for server in holders) / len(holders)
-    return max(load, pace if load > 0 else 0.0)
+    load = sum(server.load for server in loaded_servers) / len(loaded_servers)
+    gap_ratio = sum(server.gap_ratio for server in loaded_servers) / len(loaded_servers)
+    return max(load, gap_ratio if load > 0 else 0.0)
 
 
 def _list_model_loads(
     model: str, placement: Placement, pool: Pool, servers: Sequence[PlacedServer]
 ) -> list[Order]:
-    holders = [server for server in servers if model in server.models]
-    lacking = [server for server in servers if model not in server.models]
-    lacking.sort(key=lambda server: (server.load, len(server.models), server.name))
+    loaded_servers = [server for server in servers if model in server.models]
+    candidates = [server for server in servers if model not in server.models]
+    candidates.sort(key=lambda server: (server.load, len(server.models), server.name))
     chosen: list[PlacedServer] = []
     for data_centre in sorted({server.data_centre for server in servers}):
-        local = [item for item in holders if item.data_centre == data_centre]
-        missing = max(0, pool.minimum_servers - len(local))
-        near = [item for item in lacking if item.data_centre == data_centre]
-        chosen += near[:missing]
-    missing = placement.counts.get(model, 0) - len(holders) - len(chosen)
-    others = [server for server in lacking if server not in chosen]
-    chosen += others[: max(0, missing)]
+        local_servers = [
+            item for item in loaded_servers if item.data_centre == data_centre
+        ]
+        missing = max(0, pool.minimum_servers - len(local_servers))
+        local_candidates = [
+            item for item in candidates if item.data_centre == data_centre
+        ]
+        chosen += local_candidates[:missing]
+    missing = placement.counts.get(model, 0) - len(loaded_servers) - len(chosen)
+    remaining = [server for server in candidates if server not in chosen]
+    chosen += remaining[: max(0, missing)]
     return [
         Order(server.name, OrderKind.LOAD, OrderTarget.MODEL, model)
         for server in chosen
     ]
 
 
-def _list_part_loads(
+def _list_variant_loads(
     server: PlacedServer, pool: Pool, models: Mapping[str, Model]
 ) -> list[Order]:
     orders = []
@@ -255,20 +263,24 @@
         )
         for target, names in groups:
             for name in names:
-                part = f"{model}/{name}"
-                if part not in server.parts:
-                    orders.append(Order(server.name, OrderKind.LOAD, target, part))
+                variant = f"{model}/{name}"
+                if variant not in server.parts:
+                    orders.append(Order(server.name, OrderKind.LOAD, target, variant))
     return orders
 
 
 def _find_unload(
     model: str, placement: Placement, pool: Pool, servers: Sequence[PlacedServer]
 ) -> Order | None:
-    holders = [server for server in servers if model in server.models]
-    if len(holders) <= placement.counts.get(model, len(holders)):
+    loaded_servers = [server for server in servers if model in server.models]
+    if len(loaded_servers) <= placement.counts.get(model, len(loaded_servers)):
         return None
-    for server in sorted(holders, key=lambda item: (-len(item.models), item.name)):
-        local = [item for item in holders if item.data_centre == server.data_centre]
-        if server.is_idle and len(local) > pool.minimum_servers:
+    for server in sorted(
+        loaded_servers, key=lambda item: (-len(item.models), item.name)
+    ):
+        local_servers = [
+            item for item in loaded_servers if item.data_centre == server.data_centre
+        ]
+        if server.is_idle and len(local_servers) > pool.minimum_servers:
             return Order(server.name, OrderKind.UNLOAD, OrderTarget.MODEL, model)
     return None
--- a/packages/decisions/src/ebonyhaven_decisions/_queueing.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_queueing.py
@@ -221,7 +221,7 @@
         if lane is None:
             return 0.0
         own = lane.costs.get(item.workspace, 0.0)
-        scale = self._ledger.inflate(1.0, now)
+        scale = self._ledger.scale_to_epoch(1.0, now)
         key = (item.class_name, item.workspace)
         finish = self._ledger.read(key) / scale + own + cost
         step = -(-len(lane.queues) // MAX_SAMPLED_WORKSPACES) or 1
@@ -247,9 +247,9 @@
         workspace = self._find_least_served(state, lane)
         if workspace is None:
             return False
-        allowed = self._ledger.inflate(YIELD_AHEAD_TOKENS, now)
+        allowed = self._ledger.scale_to_epoch(YIELD_AHEAD_TOKENS, now)
         usage = self._ledger.read((lane.class_name, workspace))
-        least = self._ledger.find_least_remote(lane.class_name)
+        least = self._ledger.find_min_remote_usage(lane.class_name)
         return least * (1.0 + YIELD_AHEAD_SHARE) + allowed < usage
 
     def sum_queued(self) -> dict[tuple[str, str], float]:
@@ -296,7 +296,7 @@
         waiting = {key.class_name for key in self._lanes}
         if len(waiting) <= 1:
             return set()
-        usage = {name: self._ledger.sum_class(name) for name in waiting}
+        usage = {name: self._ledger.read_class_usage(name) for name in waiting}
         share = OVER_SHARE_SLACK * sum(usage.values()) / len(waiting)
         return {name for name, value in usage.items() if value > share > 0.0}
 
--- a/packages/decisions/src/ebonyhaven_decisions/_routing.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_routing.py
@@ -1,4 +1,4 @@
-"""Choice of a backend server for one request."""
+"""Selection of the backend server for a request."""
 
 from __future__ import annotations
 
@@ -15,45 +15,46 @@
 from ebonyhaven_decisions._servers import ServerState
 from ebonyhaven_decisions._work import Choice, WorkItem
 
-SAMPLED_SERVERS = 3
-MAX_HOLDERS = 2
-PLACED_SERVERS = 2
-MAX_SEARCHED = 32
-MAX_SAMPLED = 12
+SAMPLED_CANDIDATES = 3
+MAX_CACHED_CANDIDATES = 2
+HASHED_CANDIDATES = 2
+MAX_SCANNED_SERVERS = 32
+MAX_SAMPLE_DRAWS = 12
 MAX_PREFIXES = 16384
 MAX_PREFIX_SERVERS = 4
-PREFIX_MEMORY_S = 300.0
-REMOTE_CENTRE_DELAY_S = 0.003
+PREFIX_TTL_S = 300.0
+REMOTE_DATA_CENTRE_DELAY_S = 0.003
 REMOTE_REGION_DELAY_S = 0.1
-LOAD_DELAY_S = 0.05
+FULL_LOAD_DELAY_S = 0.05  # penalty of a server at its concurrency limit
 SPARE_SLOTS = 1
-CAPPED_FILL = 0.4
+CAPPED_CAPACITY_SHARE = 0.4
 
 
-class Room(NamedTuple):
-    """Part of the slots of each server that a request may fill.
+class SlotAllowance(NamedTuple):
+    """Slots of each backend server that a request may occupy.
 
     Parameters
     ----------
     reserved_share : float
-        Share of the capacity that is kept free for others.
+        Share of the capacity that is reserved for more urgent classes.
     may_exceed_limit : bool
-        Whether the request may use slots between the limit and the capacity, as
-        an urgent request and a resumed stream do.
+        Whether the request may use slots between the concurrency limit and the
+        capacity, as urgent requests and resumed streams do.
     spare_slots : int
-        Slots that are kept for resumed streams and for workspaces that were
-        served less than others.
+        Slots that are left free for resumed streams and underserved workspaces.
     is_unbounded : bool
-        Whether the request may wait in the queue of a full server.
+        Whether the request may be queued at a server without a free slot.
     avoided : set of str
-        Names of servers that are kept for more urgent classes.
+        Names of servers that are reserved for more urgent classes.
     preferred : sequence of ServerState
-        Servers that are kept for the class of the request.
+        Servers that are reserved for the class of the request.
     freed : sequence of ServerState
-        Servers with a slot that a request of this instance left a moment ago; the
-        spare slots do not apply, as no other instance counts on that slot.
+        Servers on which a request of this instance has just freed a slot.
+        `spare_slots` does not apply to them, since other instances do not know of
+        the free slot yet.
     capped : set of str
-        Names of servers that the request may fill to `CAPPED_FILL` only.
+        Names of servers that the request may only fill up to
+        `CAPPED_CAPACITY_SHARE` of their capacity.
     """
 
     reserved_share: float = 0.0
@@ -66,8 +67,8 @@
     capped: Set[str] = frozenset()
 
 
-class Place(NamedTuple):
-    """Where this instance runs.
+class Locality(NamedTuple):
+    """Data centre and region of an instance.
 
     Parameters
     ----------
@@ -78,27 +79,27 @@
     region: str = ""
 
 
-def has_room(server: ServerState, room: Room, now: float) -> bool:
-    """Return whether a request fits on a server.
+def has_free_slot(server: ServerState, allowance: SlotAllowance, now: float) -> bool:
+    """Return whether a server has a free slot for a request.
 
     Parameters
     ----------
     server : ServerState
-    room : Room
+    allowance : SlotAllowance
     now : float
         Seconds.
     """
-    if room.is_unbounded:
+    if allowance.is_unbounded:
         return True
-    top = float(server.capacity)
-    if not room.may_exceed_limit:
-        kept = math.ceil(server.capacity * room.reserved_share)
-        top = min(server.limit.slots, top) - kept
-    if room.capped and server.name in room.capped:
-        top = min(top, server.capacity * CAPPED_FILL)
-    if server not in room.freed:
-        top -= room.spare_slots
-    return server.estimate_load(now) + 1.0 <= max(top, 1.0)
+    usable_slots = float(server.capacity)
+    if not allowance.may_exceed_limit:
+        reserved = math.ceil(server.capacity * allowance.reserved_share)
+        usable_slots = min(server.limit.slots, usable_slots) - reserved
+    if allowance.capped and server.name in allowance.capped:
+        usable_slots = min(usable_slots, server.capacity * CAPPED_CAPACITY_SHARE)
+    if server not in allowance.freed:
+        usable_slots -= allowance.spare_slots
+    return server.estimate_load(now) + 1.0 <= max(usable_slots, 1.0)
 
 
 class Router(abc.ABC):
@@ -110,38 +111,38 @@
         item: WorkItem,
         table: ServerTable,
         *,
-        room: Room,
+        allowance: SlotAllowance,
         excluded: Set[str],
         now: float,
     ) -> Choice | None:
-        """Choose a server, or return None when none can take the request now.
+        """Choose a server, or return None when no server has a free slot.
 
         Parameters
         ----------
         item : WorkItem
         table : ServerTable
-        room : Room
+        allowance : SlotAllowance
         excluded : set of str
-            Names of servers that must not be chosen.
+            Names of servers that are not eligible.
         now : float
             Seconds.
         """
 
     def record_dispatch(self, item: WorkItem, server: ServerState, now: float) -> None:
-        """Note that a request went to a server."""
+        """Record that a request was dispatched to a server."""
         return
 
     def record_cached(self, server: str, digest: str, now: float) -> None:
-        """Note that a server holds a prefix in its cache."""
+        """Record that a server has cached a prefix."""
         return
 
     def record_evicted(self, server: str, digest: str) -> None:
-        """Note that a server dropped a prefix from its cache."""
+        """Record that a server has evicted a prefix from its cache."""
         return
 
 
 class RoundRobinRouter(Router):
-    """Takes the listed servers in turn and ignores their load."""
+    """Cycles through the listed servers regardless of their load."""
 
     def __init__(self) -> None:
         self._next = 0
@@ -151,7 +152,7 @@
         item: WorkItem,
         table: ServerTable,
         *,
-        room: Room,
+        allowance: SlotAllowance,
         excluded: Set[str],
         now: float,
     ) -> Choice | None:
@@ -166,7 +167,7 @@
 
 
 class LeastConnectionsRouter(Router):
-    """Takes the server with the fewest requests of this instance.
+    """Chooses the server with the fewest requests of this instance in flight.
 
     Parameters
     ----------
@@ -182,11 +183,11 @@
         item: WorkItem,
         table: ServerTable,
         *,
-        room: Room,
+        allowance: SlotAllowance,
         excluded: Set[str],
         now: float,
     ) -> Choice | None:
-        """Choose the server with the fewest own requests; see `Router.choose`."""
+        """Choose the server with the fewest requests; see `Router.choose`."""
         usable = [
             server
             for server in table.list_for(item.model)
@@ -194,69 +195,73 @@
         ]
         if not usable:
             return None
-        least = min(server.own_in_flight for server in usable)
-        tied = [server for server in usable if server.own_in_flight == least]
+        least = min(server.local_in_flight for server in usable)
+        tied = [server for server in usable if server.local_in_flight == least]
         return Choice(server=self._random.choice(tied))
 
 
 class PrefixMap:
-    """Servers that are thought to hold prefixes; bounded, the oldest go first."""
+    """Bounded map from prefixes to the servers that probably have them cached.
 
-    __slots__ = ("_holders",)
+    The least recently recorded entries are evicted first.
+    """
+
+    __slots__ = ("_servers",)
 
     def __init__(self) -> None:
-        self._holders: OrderedDict[str, dict[str, float]] = OrderedDict()
+        self._servers: OrderedDict[str, dict[str, float]] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._holders)
+        return len(self._servers)
 
     def record(self, server: str, digest: str, now: float) -> None:
-        """Note that a server holds a prefix."""
-        holders = self._holders.setdefault(digest, {})
-        holders.pop(server, None)
-        holders[server] = now
-        if len(holders) > MAX_PREFIX_SERVERS:
-            del holders[next(iter(holders))]
-        self._holders.move_to_end(digest)
-        if len(self._holders) > MAX_PREFIXES:
-            self._holders.popitem(last=False)
+        """Record that a server has cached a prefix."""
+        servers = self._servers.setdefault(digest, {})
+        servers.pop(server, None)
+        servers[server] = now
+        if len(servers) > MAX_PREFIX_SERVERS:
+            del servers[next(iter(servers))]
+        self._servers.move_to_end(digest)
+        if len(self._servers) > MAX_PREFIXES:
+            self._servers.popitem(last=False)
 
     def forget(self, server: str, digest: str) -> None:
-        """Note that a server dropped a prefix."""
-        holders = self._holders.get(digest)
-        if holders is None:
+        """Record that a server has evicted a prefix."""
+        servers = self._servers.get(digest)
+        if servers is None:
             return
-        holders.pop(server, None)
-        if not holders:
-            del self._holders[digest]
+        servers.pop(server, None)
+        if not servers:
+            del self._servers[digest]
 
     def find_cached(self, item: WorkItem, now: float) -> dict[str, int]:
-        """Return the cached tokens of a prompt by name of server."""
+        """Return the number of cached prompt tokens by server name."""
         cached: dict[str, int] = {}
         for digest, tokens in zip(item.prefix_digests, item.prefix_tokens, strict=True):
-            for server, seen_at in self._holders.get(digest, {}).items():
-                if now - seen_at <= PREFIX_MEMORY_S:
+            for server, seen_at in self._servers.get(digest, {}).items():
+                if now - seen_at <= PREFIX_TTL_S:
                     cached[server] = max(tokens, cached.get(server, 0))
         return cached
 
 
 class LoadAwareRouter(Router):
-    """Compares a few servers by predicted first token, load and distance.
+    """Scores a few servers by predicted time to first token, load and distance.
 
-    The candidates are servers whose cache holds a prefix, servers on which the
-    first prefix is placed by hash, and a random sample. Since each instance
-    samples for itself, late reports do not draw all of them to one server.
+    The candidates are servers that have cached a prefix of the prompt, servers
+    that the first prefix hashes to, and a random sample. Because each instance
+    draws its sample independently, a stale load report does not direct all
+    instances to the same server.
 
     Parameters
     ----------
     random_source : random.Random
-    place : Place
-        Where this instance runs.
+    locality : Locality
+        Data centre and region of this instance.
     """
 
-    def __init__(self, random_source: random.Random, place: Place) -> None:
+    def __init__(self, random_source: random.Random, locality: Locality) -> None:
         self._random = random_source
-        self._place = place
+        self._locality = locality
         self._prefixes = PrefixMap()
 
     def choose(
@@ -264,14 +269,14 @@
         item: WorkItem,
         table: ServerTable,
         *,
-        room: Room,
+        allowance: SlotAllowance,
         excluded: Set[str],
         now: float,
     ) -> Choice | None:
-        """Choose the best of a few servers; see `Router.choose`."""
-        query = _Query(item, table, room, excluded, now)
+        """Choose the candidate with the lowest score; see `Router.choose`."""
+        query = _Query(item, table, allowance, excluded, now)
         cached = self._prefixes.find_cached(item, now)
-        candidates = self._collect(query, cached)
+        candidates = self._collect_candidates(query, cached)
         best: ServerState | None = None
         best_score = math.inf
         for server in candidates.values():
@@ -281,66 +286,68 @@
         return _predict(item, best, cached.get(best.name, 0)) if best else None
 
     def record_dispatch(self, item: WorkItem, server: ServerState, now: float) -> None:
-        """Expect the prefixes of a request in the cache of its server."""
+        """Assume that the server caches the prefixes of a dispatched request."""
         for digest in item.prefix_digests:
             self._prefixes.record(server.name, digest, now)
 
     def record_cached(self, server: str, digest: str, now: float) -> None:
-        """Note that a server holds a prefix in its cache."""
+        """Record that a server has cached a prefix."""
         self._prefixes.record(server, digest, now)
 
     def record_evicted(self, server: str, digest: str) -> None:
-        """Note that a server dropped a prefix from its cache."""
+        """Record that a server has evicted a prefix from its cache."""
         self._prefixes.forget(server, digest)
 
-    def _collect(self, query: _Query, cached: dict[str, int]) -> dict[str, ServerState]:
-        found: dict[str, ServerState] = {}
-        for server in query.room.freed:
-            query.add(server, found)
-        holders = sorted(cached, key=cached.__getitem__, reverse=True)
-        for name in holders[:MAX_HOLDERS]:
-            query.add(query.table.get(name), found)
+    def _collect_candidates(
+        self, query: _Query, cached: dict[str, int]
+    ) -> dict[str, ServerState]:
+        candidates: dict[str, ServerState] = {}
+        for server in query.allowance.freed:
+            query.add(server, candidates)
+        servers = sorted(cached, key=cached.__getitem__, reverse=True)
+        for name in servers[:MAX_CACHED_CANDIDATES]:
+            query.add(query.table.get(name), candidates)
         if query.item.prefix_digests:
             digest = query.item.prefix_digests[0]
             model = query.item.model
-            for server in query.table.list_near(model, digest, PLACED_SERVERS):
-                query.add(server, found)
-        if query.room.preferred:
-            self._sample(query, query.room.preferred, found)
-        if not query.room.preferred or len(found) < SAMPLED_SERVERS:
-            self._sample(query, query.table.list_for(query.item.model), found)
-        return found
-
-    def _sample(
+            for server in query.table.list_by_hash(model, digest, HASHED_CANDIDATES):
+                query.add(server, candidates)
+        if query.allowance.preferred:
+            self._add_sample(query, query.allowance.preferred, candidates)
+        if not query.allowance.preferred or len(candidates) < SAMPLED_CANDIDATES:
+            self._add_sample(query, query.table.list_for(query.item.model), candidates)
+        return candidates
+
+    def _add_sample(
         self,
         query: _Query,
         servers: Sequence[ServerState],
-        found: dict[str, ServerState],
+        candidates: dict[str, ServerState],
     ) -> None:
-        """Add a few servers at random; short lists are searched to the end."""
+        """Add randomly chosen servers; a short list is scanned completely."""
         count = len(servers)
-        wanted = min(len(found) + SAMPLED_SERVERS, count)
-        is_short = count <= MAX_SEARCHED
+        target_count = min(len(candidates) + SAMPLED_CANDIDATES, count)
+        is_short = count <= MAX_SCANNED_SERVERS
         position = 0
-        for step in range(count if is_short else MAX_SAMPLED):
-            if len(found) >= wanted:
+        for step in range(count if is_short else MAX_SAMPLE_DRAWS):
+            if len(candidates) >= target_count:
                 return
             if is_short and step:
                 position = (position + 1) % count
             else:
                 position = int(self._random.random() * count)
-            query.add(servers[position], found)
+            query.add(servers[position], candidates)
 
     def _score(
         self, item: WorkItem, server: ServerState, cached_tokens: int, now: float
     ) -> float:
         delay = server.predict_first_token_s(item.prompt_tokens, cached_tokens)
         load = server.estimate_load(now) / max(server.limit.slots, 1.0)
-        delay += LOAD_DELAY_S * load
-        if server.entry.region != self._place.region:
+        delay += FULL_LOAD_DELAY_S * load
+        if server.entry.region != self._locality.region:
             return delay + REMOTE_REGION_DELAY_S
-        if server.entry.data_centre != self._place.data_centre:
-            return delay + REMOTE_CENTRE_DELAY_S
+        if server.entry.data_centre != self._locality.data_centre:
+            return delay + REMOTE_DATA_CENTRE_DELAY_S
         return delay
 
 
@@ -348,20 +355,22 @@
 class _Query:
     item: WorkItem
     table: ServerTable
-    room: Room
+    allowance: SlotAllowance
     excluded: Set[str]
     now: float
 
-    def add(self, server: ServerState | None, found: dict[str, ServerState]) -> None:
+    def add(
+        self, server: ServerState | None, candidates: dict[str, ServerState]
+    ) -> None:
         if server is None or not server.is_usable(self.now):
             return
-        if not has_room(server, self.room, self.now):
+        if not has_free_slot(server, self.allowance, self.now):
             return
         name = server.name
-        if name in self.excluded or name in self.room.avoided:
+        if name in self.excluded or name in self.allowance.avoided:
             return
         if server.serves(self.item.model):
-            found[name] = server
+            candidates[name] = server
 
 
 def _predict(item: WorkItem, server: ServerState, cached_tokens: int) -> Choice:
--- a/packages/decisions/src/ebonyhaven_decisions/_server_table.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_server_table.py
@@ -1,4 +1,4 @@
-"""Index of the backend servers by name, model and place on a hash ring."""
+"""Index of the backend servers by name, model and position on a hash ring."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ebonyhaven_decisions._servers import ServerEntry, ServerState
 
-RING_POINTS = 8
+RING_POINTS_PER_SERVER = 8
 
 
 class _RingPoint(NamedTuple):
@@ -18,7 +18,7 @@
 
 
 class ServerTable:
-    """The backend servers that an instance knows, indexed by model."""
+    """Backend servers known to an instance, indexed by name and model."""
 
     __slots__ = ("_by_model", "_ordered", "_rings", "_servers")
 
@@ -39,32 +39,34 @@
         return self._servers.get(name)
 
     def replace(self, entries: Iterable[ServerEntry]) -> None:
-        """Take over the list of servers and keep what is known of each.
+        """Replace the list of servers.
+
+        Servers that are still listed at the same address keep their state.
 
         Parameters
         ----------
         entries : iterable of ServerEntry
         """
-        known = self._servers
+        previous = self._servers
         self._servers = {}
         for entry in entries:
-            state = known.get(entry.name)
+            state = previous.get(entry.name)
             if state is None or state.entry.address != entry.address:
                 state = ServerState(entry=entry)
             state.entry = entry
             self._servers[entry.name] = state
-        self._index()
+        self._rebuild_index()
 
     def list_for(self, model: str) -> list[ServerState]:
-        """Return the servers listed for a model; the list is not to be changed."""
+        """Return the servers listed for a model; do not modify the list."""
         return self._by_model.get(model, [])
 
     def list_ordered(self, model: str) -> list[ServerState]:
-        """Return the servers of a model in an order that all instances share."""
+        """Return the servers of a model in the same order on all instances."""
         return self._ordered.get(model, [])
 
-    def list_near(self, model: str, digest: str, count: int) -> list[ServerState]:
-        """Return the servers that a digest is placed on, equal on all instances.
+    def list_by_hash(self, model: str, digest: str, count: int) -> list[ServerState]:
+        """Return the servers that a digest hashes to, the same on all instances.
 
         Parameters
         ----------
@@ -72,19 +74,19 @@
         digest : str
             Hexadecimal digest of a prefix.
         count : int
-            Number of servers wanted.
+            Maximum number of servers.
 
         Returns
         -------
         list of ServerState
-            Distinct, the first choice first.
+            Distinct servers in order of preference.
         """
         ring = self._rings.get(model)
         if not ring:
             return []
         start = bisect.bisect_left(ring, int(digest[:8], 16), key=lambda p: p.position)
         found: list[ServerState] = []
-        for step in range(min(len(ring), count * RING_POINTS)):
+        for step in range(min(len(ring), count * RING_POINTS_PER_SERVER)):
             server = ring[(start + step) % len(ring)].server
             if server not in found:
                 found.append(server)
@@ -92,7 +94,7 @@
                 break
         return found
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self._by_model = {}
         for state in self._servers.values():
             for model in state.entry.models:
@@ -110,7 +112,7 @@
     points = [
         _RingPoint(_hash_point(f"{state.name}/{index}"), state)
         for state in states
-        for index in range(RING_POINTS)
+        for index in range(RING_POINTS_PER_SERVER)
     ]
     return sorted(points, key=lambda point: (point.position, point.server.name))
 
--- a/packages/decisions/src/ebonyhaven_decisions/_servers.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_servers.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the backend servers."""
+"""Load, speed and health of backend servers as seen by one instance."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 DEFAULT_CAPACITY = 16
 DEFAULT_PACE_MS = 30.0
 DEFAULT_PREFILL_TOKENS_PER_S = 4000.0
-REPORT_DECAY_S = 2.0
-FORGET_AFTER_S = 5.0
-AVERAGE_SMOOTHING = 0.2
-MAX_OWN_HISTORY = 128
+REPORT_DECAY_S = 2.0  # a report of this age has half its initial weight
+AVERAGE_DECAY_AFTER_S = 5.0
+REMOTE_LOAD_SMOOTHING = 0.2
+MAX_IN_FLIGHT_SAMPLES = 128
 SUSPECT_MIN_S = 1.0
 SUSPECT_MAX_S = 8.0
 CORRECTION_SMOOTHING = 0.2
-CORRECTION_MIN = 0.5
-CORRECTION_MAX = 10.0
+CORRECTION_FACTOR_MIN = 0.5
+CORRECTION_FACTOR_MAX = 10.0
 MS_PER_S = 1000.0
 
 
 class ServerEntry(NamedTuple):
-    """One backend server as membership lists it.
+    """A backend server as listed by membership.
 
     Parameters
     ----------
@@ -36,8 +36,9 @@
     data_centre : str
     region : str
     models : frozenset of str
-        Models that it serves, or ``service/NAME`` for a plain service.
+        Models that the server serves, or ``service/NAME`` for a plain service.
     is_leaving : bool
+        Whether the server accepts no new work.
     """
 
     name: str
@@ -49,20 +50,21 @@
 
 
 class ServerReport(NamedTuple):
-    """Load of a backend server at one moment.
+    """Load measurement of a backend server.
 
     Parameters
     ----------
     running, waiting : int
         Sequences in the batch and in the queue of the server.
     measured_at : float
-        Seconds, on the clock of the reader.
+        Monotonic time on the clock of this instance, seconds.
     capacity : int or None
-        Sequences that the server runs at most.
+        Maximum number of sequences in the batch.
     pace_ms : float or None
         Gap between tokens, milliseconds.
     prefill_tokens_per_s : float or None
     is_leaving : bool
+        Whether the server accepts no new work.
     """
 
     running: int
@@ -74,14 +76,14 @@
     is_leaving: bool = False
 
 
-class _OwnCount(NamedTuple):
+class _InFlightSample(NamedTuple):
     time: float
     count: int
 
 
 @attrs.define(slots=True, kw_only=True, eq=False)
 class ServerState:
-    """Load, speed and health of one backend server as this instance sees them.
+    """State of one backend server as seen by this instance.
 
     Parameters
     ----------
@@ -94,22 +96,22 @@
     pace_ms: float = DEFAULT_PACE_MS
     prefill_tokens_per_s: float = DEFAULT_PREFILL_TOKENS_PER_S
     reports_leaving: bool = False
-    is_on_probation: bool = False
+    is_recovering: bool = False
     suspect_until: float = -math.inf
     failures: int = 0
     failed_at: float = -math.inf
     answered_at: float = -math.inf
     reported_sequences: int = 0
-    own_in_flight: int = 0
-    own_prefill_tokens: int = 0
+    local_in_flight: int = 0
+    local_prefill_tokens: int = 0
     reported_at: float = -math.inf
-    asked_at: float = -math.inf
+    polled_at: float = -math.inf
     missing_models: frozenset[str] = frozenset()
-    correction: float = 1.0
-    _others: float = 0.0
-    _others_average: float = 0.0
-    _own_history: deque[_OwnCount] = attrs.field(
-        factory=lambda: deque(maxlen=MAX_OWN_HISTORY)
+    correction_factor: float = 1.0
+    _remote_load: float = 0.0
+    _remote_load_average: float = 0.0
+    _in_flight_history: deque[_InFlightSample] = attrs.field(
+        factory=lambda: deque(maxlen=MAX_IN_FLIGHT_SAMPLES)
     )
 
     @property
@@ -119,15 +121,17 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether its listing or its own answers say that it is leaving."""
+        """Whether the listing or the reports of the server mark it as leaving."""
         return self.entry.is_leaving or self.reports_leaving
 
     def serves(self, model: str) -> bool:
-        """Return whether the model is listed for it and not known to be missing."""
+        """Return whether the model is listed and not known to be missing."""
         return model in self.entry.models and model not in self.missing_models
 
     def is_usable(self, now: float) -> bool:
-        """Return whether new work may be sent to it.
+        """Return whether new work may be dispatched to the server.
+
+        A server that failed gets one request at a time until it succeeds.
 
         Parameters
         ----------
@@ -136,10 +140,10 @@
         """
         if self.is_leaving or now < self.suspect_until:
             return False
-        return not self.is_on_probation or self.own_in_flight == 0
+        return not self.is_recovering or self.local_in_flight == 0
 
     def is_suspect(self, now: float) -> bool:
-        """Return whether an error is recent enough to keep work away.
+        """Return whether new work is withheld after a recent failure.
 
         Parameters
         ----------
@@ -149,12 +153,13 @@
         return now < self.suspect_until
 
     def estimate_load(self, now: float) -> float:
-        """Return the sequences that it is thought to hold at present.
+        """Estimate the number of sequences on the server.
 
-        Own requests count from the moment of their dispatch; those of other
-        instances come from the last report, which fades into their average as
-        it ages; the average fades once there was no report for a while, so that
-        a server which looked full is tried again.
+        Requests of this instance are counted from their dispatch. The load from
+        other instances is taken from the last report, whose weight shifts to the
+        running average as the report ages. Without a report for
+        `AVERAGE_DECAY_AFTER_S`, the average decays too, so that a server which
+        was last reported as full is tried again.
 
         Parameters
         ----------
@@ -167,49 +172,49 @@
         """
         age = now - self.reported_at
         weight = REPORT_DECAY_S / (REPORT_DECAY_S + age) if age > 0.0 else 1.0
-        average = self._others_average
-        if age > FORGET_AFTER_S:
-            average *= FORGET_AFTER_S / age
-        others = average + weight * (self._others - average)
-        return self.own_in_flight + others
+        average = self._remote_load_average
+        if age > AVERAGE_DECAY_AFTER_S:
+            average *= AVERAGE_DECAY_AFTER_S / age
+        remote_load = average + weight * (self._remote_load - average)
+        return self.local_in_flight + remote_load
 
     def predict_first_token_s(self, prompt_tokens: int, cached_tokens: int) -> float:
-        """Predict the time from a dispatch at present to the first token.
+        """Predict the time from a dispatch now to the first token.
 
         Parameters
         ----------
         prompt_tokens, cached_tokens : int
-            Length of the prompt, and of its part that the cache holds.
+            Length of the prompt and of its cached prefix.
 
         Returns
         -------
         float
             Seconds.
         """
-        tokens = max(prompt_tokens - cached_tokens, 0) + self.own_prefill_tokens
+        tokens = max(prompt_tokens - cached_tokens, 0) + self.local_prefill_tokens
         prefill_s = tokens / self.prefill_tokens_per_s
-        return self.correction * (prefill_s + self.pace_ms / MS_PER_S)
+        return self.correction_factor * (prefill_s + self.pace_ms / MS_PER_S)
 
     def record_report(self, report: ServerReport, gap_limit_ms: float) -> None:
-        """Take over a load report unless a later one is known.
+        """Apply a load report unless it is older than the last one.
 
         Parameters
         ----------
         report : ServerReport
         gap_limit_ms : float
-            Gap that the batch may reach, milliseconds.
+            Maximum gap between tokens, milliseconds.
         """
         if report.measured_at < self.reported_at:
             return
         self.reports_leaving = report.is_leaving
         self.reported_at = report.measured_at
-        self.asked_at = max(self.asked_at, report.measured_at)
+        self.polled_at = max(self.polled_at, report.measured_at)
         self.reported_sequences = report.running + report.waiting
         self._record_speed(report)
-        own = self._count_own_at(report.measured_at)
-        self._others = max(0.0, report.running + report.waiting - own)
-        change = self._others - self._others_average
-        self._others_average += AVERAGE_SMOOTHING * change
+        local_load = self._count_in_flight_at(report.measured_at)
+        self._remote_load = max(0.0, report.running + report.waiting - local_load)
+        change = self._remote_load - self._remote_load_average
+        self._remote_load_average += REMOTE_LOAD_SMOOTHING * change
         self.limit.record_capacity(self.capacity)
         self.limit.record_pace(
             running=report.running,
@@ -219,43 +224,43 @@
         )
 
     def record_dispatch(self, prefill_tokens: int, now: float) -> None:
-        """Count a request that was sent to it.
+        """Count a request that was dispatched to the server.
 
         Parameters
         ----------
         prefill_tokens : int
-            Tokens of the prompt that have to be computed.
+            Prompt tokens that are not cached.
         now : float
             Seconds.
         """
-        self.own_in_flight += 1
-        self.own_prefill_tokens += prefill_tokens
-        self._own_history.append(_OwnCount(now, self.own_in_flight))
+        self.local_in_flight += 1
+        self.local_prefill_tokens += prefill_tokens
+        self._in_flight_history.append(_InFlightSample(now, self.local_in_flight))
 
     def record_end(self, now: float) -> None:
-        """Count a request that left it.
+        """Count a request that no longer runs on the server.
 
         Parameters
         ----------
         now : float
             Seconds.
         """
-        self.own_in_flight = max(0, self.own_in_flight - 1)
-        self._own_history.append(_OwnCount(now, self.own_in_flight))
+        self.local_in_flight = max(0, self.local_in_flight - 1)
+        self._in_flight_history.append(_InFlightSample(now, self.local_in_flight))
 
-    def record_prefilled(self, prefill_tokens: int) -> None:
-        """Count a prefill as done or given up.
+    def release_prefill_tokens(self, prefill_tokens: int) -> None:
+        """Subtract the tokens of a prefill that has ended or was abandoned.
 
         Parameters
         ----------
         prefill_tokens : int
         """
-        self.own_prefill_tokens = max(0, self.own_prefill_tokens - prefill_tokens)
+        self.local_prefill_tokens = max(0, self.local_prefill_tokens - prefill_tokens)
 
     def record_first_token(
         self, *, predicted_s: float, observed_s: float, now: float
     ) -> None:
-        """Correct the predictions by the observed time to a first token.
+        """Adjust the correction factor to an observed time to the first token.
 
         Parameters
         ----------
@@ -267,12 +272,16 @@
         self.record_success(now)
         if predicted_s <= 0.0:
             return
-        wanted = self.correction * observed_s / predicted_s
-        wanted = min(max(wanted, CORRECTION_MIN), CORRECTION_MAX)
-        self.correction += CORRECTION_SMOOTHING * (wanted - self.correction)
+        target_factor = self.correction_factor * observed_s / predicted_s
+        target_factor = min(
+            max(target_factor, CORRECTION_FACTOR_MIN), CORRECTION_FACTOR_MAX
+        )
+        self.correction_factor += CORRECTION_SMOOTHING * (
+            target_factor - self.correction_factor
+        )
 
     def record_success(self, now: float) -> None:
-        """Note that it answered.
+        """Record an answer of the server and clear its failures.
 
         Parameters
         ----------
@@ -281,13 +290,13 @@
         """
         self.answered_at = now
         self.failures = 0
-        self.is_on_probation = False
+        self.is_recovering = False
         self.suspect_until = -math.inf
 
     def record_failure(self, now: float) -> None:
-        """Send it no work for a while after an error, longer each time.
+        """Withhold work after a failure, with exponential backoff.
 
-        Errors of several requests at one time count once.
+        Failures while the server is already suspect do not extend the backoff.
 
         Parameters
         ----------
@@ -297,26 +306,26 @@
         self.failed_at = now
         if self.is_suspect(now):
             return
-        pause = min(SUSPECT_MIN_S * 2**self.failures, SUSPECT_MAX_S)
+        backoff_s = min(SUSPECT_MIN_S * 2**self.failures, SUSPECT_MAX_S)
         self.failures += 1
-        self.is_on_probation = True
-        self.suspect_until = now + pause
+        self.is_recovering = True
+        self.suspect_until = now + backoff_s
 
-    def record_hearsay(self, now: float, failed_at: float) -> None:
-        """Keep work away for a moment after an error at another instance.
+    def record_remote_failure(self, now: float, failed_at: float) -> None:
+        """Withhold work briefly after a failure seen by another instance.
 
         Parameters
         ----------
         now, failed_at : float
-            Seconds; an answer after `failed_at` outweighs the error.
+            Seconds; a failure that precedes the last answer is ignored.
         """
         if self.answered_at > failed_at or self.is_suspect(now):
             return
-        self.is_on_probation = True
+        self.is_recovering = True
         self.suspect_until = now + SUSPECT_MIN_S
 
     def record_full(self, now: float) -> None:
-        """Note that it refused a request because it was full.
+        """Record that the server rejected a request for lack of a free slot.
 
         Parameters
         ----------
@@ -324,7 +333,7 @@
             Seconds.
         """
         self.reported_at = now
-        self._others = max(float(self.capacity) - self.own_in_flight, 0.0)
+        self._remote_load = max(float(self.capacity) - self.local_in_flight, 0.0)
 
     def _record_speed(self, report: ServerReport) -> None:
         if report.capacity:
@@ -334,8 +343,8 @@
         if report.prefill_tokens_per_s:
             self.prefill_tokens_per_s = report.prefill_tokens_per_s
 
-    def _count_own_at(self, time: float) -> int:
-        for count in reversed(self._own_history):
-            if count.time <= time:
-                return count.count
+    def _count_in_flight_at(self, time: float) -> int:
+        for sample in reversed(self._in_flight_history):
+            if sample.time <= time:
+                return sample.count
         return 0
--- a/packages/decisions/src/ebonyhaven_decisions/_usage.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_usage.py
@@ -1,8 +1,8 @@
 """Service consumed by workspaces, shared between instances as bounded digests.
 
-Consumption fades exponentially, so an idle workspace neither saves up service nor
-pays for long ago. All values are kept as they would be at a common epoch, which
-leaves their order unchanged as time passes.
+Consumption decays exponentially, so an idle workspace neither accumulates credit
+nor is charged for old usage. All values are stored scaled to a common epoch
+(forward decay), so their order does not change as time passes.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import attrs
 
 USAGE_DECAY_S = 20.0
-REBASE_AFTER_S = 40 * USAGE_DECAY_S
+REBASE_AFTER_S = 40 * USAGE_DECAY_S  # the epoch factor has reached exp(40) by then
 MAX_DIGEST_ENTRIES = 16
 MAX_PEERS = 32
 PEER_TIMEOUT_S = 15.0
@@ -30,9 +30,9 @@
     ----------
     class_name, workspace : str
     tokens : float
-        Faded service consumed, decode tokens.
+        Service consumed, after decay, decode tokens.
     queued_tokens : float
-        Service that waits in the queue, decode tokens.
+        Service of the queued requests, decode tokens.
     """
 
     class_name: str
@@ -41,18 +41,18 @@
     queued_tokens: float
 
 
-Key = tuple[str, str]
+UsageKey = tuple[str, str]
 
 
 @attrs.define(slots=True)
 class _Peer:
     seen_at: float
-    usage: dict[Key, float]
-    queued: dict[Key, float]
+    usage: dict[UsageKey, float]
+    queued: dict[UsageKey, float]
 
 
 class UsageLedger:
-    """Faded consumption of each class and workspace over all instances.
+    """Decayed consumption of each class and workspace over all instances.
 
     Parameters
     ----------
@@ -73,10 +73,10 @@
 
     def __init__(self, now: float) -> None:
         self._epoch = now
-        self._local: dict[Key, float] = {}
+        self._local: dict[UsageKey, float] = {}
         self._by_class: dict[str, float] = {}
         self._means: dict[str, tuple[float, float]] = {}
-        self._remote: dict[Key, float] = {}
+        self._remote: dict[UsageKey, float] = {}
         self._peers: dict[str, _Peer] = {}
         self.instances = 1
         self.rebases = 0
@@ -85,12 +85,12 @@
         return len(self._local) + sum(len(peer.usage) for peer in self._peers.values())
 
     @property
-    def peer_scale(self) -> float:
-        """Other instances for each one whose digest is held."""
+    def remote_scale_factor(self) -> float:
+        """Number of other instances per instance whose digest is known."""
         return max(1.0, (self.instances - 1) / len(self._peers)) if self._peers else 1.0
 
-    def charge(self, key: Key, tokens: float, now: float) -> None:
-        """Add service that was consumed here; negative for a correction.
+    def charge(self, key: UsageKey, tokens: float, now: float) -> None:
+        """Add service consumed on this instance; negative for a correction.
 
         Parameters
         ----------
@@ -104,27 +104,29 @@
         if now - self._epoch > REBASE_AFTER_S:
             self._rebase(now)
         before = self._local.get(key, 0.0)
-        usage = max(before + tokens * self._inflate(now), 0.0)
+        usage = max(before + tokens * self._compute_epoch_factor(now), 0.0)
         self._local[key] = usage
         total = self._by_class.get(key[0], 0.0) + usage - before
         self._by_class[key[0]] = max(total, 0.0)
 
-    def read(self, key: Key) -> float:
+    def read(self, key: UsageKey) -> float:
         """Return the consumption of a workspace at the common epoch.
 
-        The values of two workspaces compare at any time; `read_tokens` gives the
-        tokens at present.
+        The values of two workspaces are comparable at any time; `read_tokens`
+        returns the present number of tokens.
         """
         remote = self._remote.get(key, 0.0)
-        return self._local.get(key, 0.0) + (remote * self.peer_scale if remote else 0.0)
+        return self._local.get(key, 0.0) + (
+            remote * self.remote_scale_factor if remote else 0.0
+        )
 
-    def read_tokens(self, key: Key, now: float) -> float:
-        """Return the faded consumption at present, decode tokens."""
-        return self.read(key) / self._inflate(now)
+    def read_tokens(self, key: UsageKey, now: float) -> float:
+        """Return the decayed consumption at present, decode tokens."""
+        return self.read(key) / self._compute_epoch_factor(now)
 
-    def inflate(self, tokens: float, now: float) -> float:
-        """Return tokens consumed now as a value at the common epoch."""
-        return tokens * self._inflate(now)
+    def scale_to_epoch(self, tokens: float, now: float) -> float:
+        """Scale tokens consumed now to the common epoch."""
+        return tokens * self._compute_epoch_factor(now)
 
     def read_mean(self, class_name: str, now: float) -> float:
         """Return the mean consumption of the active workspaces of a class.
@@ -138,38 +140,38 @@
         Returns
         -------
         float
-            At the common epoch; recomputed every `MEAN_PERIOD_S`.
+            Value at the common epoch, cached for `MEAN_PERIOD_S`.
         """
         computed_at, mean = self._means.get(class_name, (-math.inf, 0.0))
         if now - computed_at < MEAN_PERIOD_S:
             return mean
-        least = MIN_USAGE_TOKENS * self._inflate(now)
+        minimum = MIN_USAGE_TOKENS * self._compute_epoch_factor(now)
         keys = {key for key in self._local if key[0] == class_name}
         keys.update(key for key in self._remote if key[0] == class_name)
-        values = [usage for key in keys if (usage := self.read(key)) >= least]
+        values = [usage for key in keys if (usage := self.read(key)) >= minimum]
         mean = sum(values) / len(values) if values else 0.0
         self._means[class_name] = (now, mean)
         return mean
 
-    def sum_class(self, class_name: str) -> float:
-        """Return the consumption of a class here, at the common epoch."""
+    def read_class_usage(self, class_name: str) -> float:
+        """Return the consumption of a class on this instance, at the common epoch."""
         return self._by_class.get(class_name, 0.0)
 
     def build_digest(
         self,
-        queued: dict[Key, float],
+        queued: dict[UsageKey, float],
         now: float,
         random_source: random.Random,
     ) -> list[UsageEntry]:
-        """Return the entries that the other instances need most.
+        """Return the most relevant entries for other instances.
 
-        Backlogged workspaces come first, then the largest consumers; a tie is
-        broken at random, so that successive digests cover them all.
+        Backlogged workspaces come first, then the largest consumers. Ties are
+        broken at random, so that successive digests cover all of them.
 
         Parameters
         ----------
         queued : dict of tuple to float
-            Decode tokens that wait here, by class and workspace.
+            Decode tokens queued on this instance, by class and workspace.
         now : float
             Seconds.
         random_source : random.Random
@@ -179,8 +181,8 @@
         list of UsageEntry
             At most `MAX_DIGEST_ENTRIES`.
         """
-        self._drop_faded(now)
-        scale = self._inflate(now)
+        self._drop_decayed(now)
+        scale = self._compute_epoch_factor(now)
         keys = set(self._local) | set(queued)
         ranked = sorted(
             keys,
@@ -198,7 +200,7 @@
     def merge_digest(
         self, peer: str, entries: Sequence[UsageEntry], now: float
     ) -> None:
-        """Take over the digest of another instance in place of its last one.
+        """Replace the last digest of another instance by a new one.
 
         Parameters
         ----------
@@ -207,7 +209,7 @@
         now : float
             Seconds.
         """
-        scale = self._inflate(now)
+        scale = self._compute_epoch_factor(now)
         usage = {}
         queued = {}
         for entry in entries[:MAX_DIGEST_ENTRIES]:
@@ -223,7 +225,7 @@
         self._sum_remote()
 
     def drop_silent_peers(self, now: float) -> None:
-        """Forget the instances that sent no digest for `PEER_TIMEOUT_S`."""
+        """Remove instances that have sent no digest for `PEER_TIMEOUT_S`."""
         silent = [
             name
             for name, peer in self._peers.items()
@@ -234,8 +236,8 @@
         if silent:
             self._sum_remote()
 
-    def find_least_remote(self, class_name: str) -> float:
-        """Return the least consumption of a workspace that waits elsewhere.
+    def find_min_remote_usage(self, class_name: str) -> float:
+        """Return the minimum consumption of the workspaces queued at other instances.
 
         Parameters
         ----------
@@ -244,21 +246,21 @@
         Returns
         -------
         float
-            At the common epoch; infinite when none waits.
+            Value at the common epoch; infinite when no workspace is queued.
         """
-        waiting = {
+        queued_keys = {
             key
             for peer in self._peers.values()
             for key in peer.queued
             if key[0] == class_name
         }
-        return min((self.read(key) for key in waiting), default=math.inf)
+        return min((self.read(key) for key in queued_keys), default=math.inf)
 
-    def _inflate(self, now: float) -> float:
+    def _compute_epoch_factor(self, now: float) -> float:
         return math.exp((now - self._epoch) / USAGE_DECAY_S)
 
     def _rebase(self, now: float) -> None:
-        scale = 1.0 / self._inflate(now)
+        scale = 1.0 / self._compute_epoch_factor(now)
         self._epoch = now
         self.rebases += 1
         self._means.clear()
@@ -274,8 +276,8 @@
             for key, value in peer.usage.items():
                 self._remote[key] = self._remote.get(key, 0.0) + value
 
-    def _drop_faded(self, now: float) -> None:
-        least = MIN_USAGE_TOKENS * self._inflate(now)
+    def _drop_decayed(self, now: float) -> None:
+        minimum = MIN_USAGE_TOKENS * self._compute_epoch_factor(now)
         self._local = {
-            key: value for key, value in self._local.items() if value >= least
+            key: value for key, value in self._local.items() if value >= minimum
         }
--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -10,7 +10,7 @@
 from ebonyhaven_decisions import (
     Claimant,
     CrashLedger,
-    Place,
+    Locality,
     Scheduling,
     build_scheduler,
 )
@@ -243,7 +243,7 @@
         scheduler = build_scheduler(
             Scheduling(self._settings.scheduling),
             {},
-            place=Place(self._settings.data_centre, self._settings.region),
+            place=Locality(self._settings.data_centre, self._settings.region),
             random_source=self._rng,
             now=time.monotonic(),
         )
--- a/packages/node/src/ebonyhaven_node/_crash_reports.py
+++ b/packages/node/src/ebonyhaven_node/_crash_reports.py
@@ -69,9 +69,11 @@
         self._ledger.record_death(
             content, server=process, progress_tokens=progress_tokens, now=now
         )
-        evidence = self._ledger.view()[content][process]
+        evidence = self._ledger.read_evidence()[content][process]
         entry = GossipEntry(
-            f"{content}{process}", int(time.time()), evidence.strong + evidence.idle
+            f"{content}{process}",
+            int(time.time()),
+            evidence.is_strong + evidence.is_tokenless,
         )
         self._table.merge(entry, now)
 
@@ -101,7 +103,7 @@
         content, process = entry.key[:-PROCESS_DIGITS], entry.key[-PROCESS_DIGITS:]
         age_s = max(0.0, time.time() - entry.version)
         evidence = CrashEvidence(
-            process, age_s, strong=entry.value > 0, idle=entry.value > 1
+            process, age_s, is_strong=entry.value > 0, is_tokenless=entry.value > 1
         )
         self._ledger.merge([(content, evidence)], now=time.monotonic())
 
--- a/packages/node/src/ebonyhaven_node/_load_poller.py
+++ b/packages/node/src/ebonyhaven_node/_load_poller.py
@@ -76,11 +76,11 @@
         engines = [state for state in self._table if not _is_service(state)]
         if len(engines) > SAMPLED:
             engines = self._rng.sample(engines, SAMPLED)
-        oldest = min(engines, key=lambda state: state.asked_at, default=None)
+        oldest = min(engines, key=lambda state: state.polled_at, default=None)
         now = time.monotonic()
-        if oldest is None or now - oldest.asked_at < FRESH_S:
+        if oldest is None or now - oldest.polled_at < FRESH_S:
             return None
-        oldest.asked_at = now
+        oldest.polled_at = now
         return self._servers.find(oldest.name)
 
     async def _read(self, server: BackendServer) -> None:
--- a/packages/node/src/ebonyhaven_node/_orders.py
+++ b/packages/node/src/ebonyhaven_node/_orders.py
@@ -28,7 +28,7 @@
     Placement,
     PlacementPolicy,
     Pool,
-    is_done,
+    is_order_applied,
     list_orders,
     update_placement,
 )
@@ -240,7 +240,7 @@
             models=item.models,
             parts=item.parts,
             load=(server.running + server.waiting) / max(1, server.capacity),
-            pace=server.pace_s / strictest_s,
+            gap_ratio=server.pace_s / strictest_s,
             leaving=item.leaving,
         )
 
@@ -250,7 +250,7 @@
             if pending is None:
                 continue
             timed_out = now - pending.sent_at > ORDER_TIMEOUT_S
-            if timed_out or is_done(pending.order, server):
+            if timed_out or is_order_applied(pending.order, server):
                 del self._pending[server.name]
                 result = "timed_out" if timed_out else "done"
                 self._parts.metrics.orders.labels(pending.order.kind, result).inc()
--- a/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
@@ -14,7 +14,7 @@
 
 from ebonyhaven_decisions import (
     ClassTargets,
-    Place,
+    Locality,
     Scheduler,
     Scheduling,
     ServerEntry,
@@ -31,7 +31,7 @@
 WAITING_A_WORKSPACE = 3
 MAX_COST_US = 100.0
 MODEL = "dossier"
-PLACE = Place("dc-0", "r1")
+PLACE = Locality("dc-0", "r1")
 TARGETS = {
     "look-up": ClassTargets(first_token_ms=500, gap_ms=62, resume_ms=1000),
     "analysis": ClassTargets(
--- a/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
@@ -8,7 +8,7 @@
 
 from ebonyhaven_decisions import (
     ClassTargets,
-    Place,
+    Locality,
     Scheduling,
     WorkItem,
     build_scheduler,
@@ -86,7 +86,7 @@
         scheduler = build_scheduler(
             Scheduling.FAIR,
             derive_policies(targets),
-            place=Place("data-centre-0", "region-0"),
+            place=Locality("data-centre-0", "region-0"),
             random_source=random.Random(1),
             now=NOW_S,
         )
--- a/tests/decisions/scheduling.py
+++ b/tests/decisions/scheduling.py
@@ -6,7 +6,7 @@
 
 from ebonyhaven_decisions import (
     ClassTargets,
-    Place,
+    Locality,
     Scheduler,
     Scheduling,
     ServerEntry,
@@ -24,7 +24,7 @@
 }
 POLICIES = derive_policies(TARGETS)
 MODEL = "dossier"
-HERE = Place("dc-a", "r1")
+HERE = Locality("dc-a", "r1")
 
 
 def build_entries(count, *, prefix="s", data_centre="dc-a"):
@@ -67,7 +67,7 @@
 
 def report_idle(scheduler, capacity, *, now):
     for state in scheduler.dispatcher.table:
-        running = state.own_in_flight
+        running = state.local_in_flight
         report = ServerReport(running, 0, now, capacity=capacity, pace_ms=30.0)
         scheduler.dispatcher.record_report(state.name, report)
 
--- a/tests/decisions/test_outcomes.py
+++ b/tests/decisions/test_outcomes.py
@@ -3,7 +3,7 @@
 from ebonyhaven_decisions import Outcome, OutcomeTag, RequestFailure
 
 
-def test_failure_names_tag_step_and_reason():
+def test_request_failure_message_contains_tag_step_and_reason():
     outcome = Outcome(
         tag=OutcomeTag.NOT_RUN, step="admit", peer="self", reason="queue is full"
     )
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -13,7 +13,7 @@
     PlacementPolicy,
     Pool,
     PoolKind,
-    is_done,
+    is_order_applied,
     list_orders,
     update_placement,
 )
@@ -28,12 +28,12 @@
 def make_server(index: int, *models: str, **state) -> PlacedServer:
     parts = frozenset({"a/1"}) if "a" in models else frozenset()
     state = {"parts": parts, **state}
-    place = DATA_CENTRES[index % 2]
-    return PlacedServer(f"s{index}", place, frozenset(models), **state)
+    data_centre = DATA_CENTRES[index % 2]
+    return PlacedServer(f"s{index}", data_centre, frozenset(models), **state)
 
 
 class Deployment:
-    """Servers that carry out each order before the next round."""
+    """Servers that apply each order before the next round."""
 
     def __init__(self, count: int):
         self.servers = {f"s{index}": make_server(index, "a") for index in range(count)}
@@ -42,13 +42,13 @@
         self.now = 0.0
 
     def run_round(self, demand: dict[str, float]) -> None:
-        """Share a demand, in servers, between the holders of each model."""
+        """Distribute the demand, in servers, over the servers of each model."""
         servers = [self.load_server(item, demand) for item in self.servers.values()]
         self.placement = update_placement(
             self.placement, POOL, servers, policy=POLICY, now=self.now
         )
         for order in list_orders(self.placement, POOL, MODELS, servers):
-            self.carry_out(order)
+            self.apply_order(order)
         self.now += ROUND_S
 
     def load_server(
@@ -62,28 +62,28 @@
     def count(self, model: str) -> int:
         return sum(model in item.models for item in self.servers.values())
 
-    def carry_out(self, order: Order) -> None:
+    def apply_order(self, order: Order) -> None:
         server = self.servers[order.server]
-        held = server.models if order.target is OrderTarget.MODEL else server.parts
+        loaded = server.models if order.target is OrderTarget.MODEL else server.parts
         changed = {order.name}
-        held = held | changed if order.kind is OrderKind.LOAD else held - changed
+        loaded = loaded | changed if order.kind is OrderKind.LOAD else loaded - changed
         field = "models" if order.target is OrderTarget.MODEL else "parts"
-        self.servers[order.server] = server._replace(**{field: held})
+        self.servers[order.server] = server._replace(**{field: loaded})
         self.orders.append(order)
 
 
-def test_each_data_centre_gets_the_minimum_of_each_model():
+def test_each_data_centre_gets_the_minimum_servers_of_each_model():
     deployment = Deployment(4)
     for _ in range(5):
         deployment.run_round({})
-    places = {
+    data_centres = {
         item.data_centre for item in deployment.servers.values() if "b" in item.models
     }
-    assert places == set(DATA_CENTRES)
+    assert data_centres == set(DATA_CENTRES)
     assert deployment.count("b") == 2
 
 
-def test_lasting_pressure_adds_servers_and_lasting_quiet_gives_them_up():
+def test_sustained_pressure_adds_servers_and_sustained_idleness_removes_them():
     deployment = Deployment(8)
     for _ in range(40):
         deployment.run_round({"b": 4.0})
@@ -93,20 +93,20 @@
     assert deployment.count("b") == 2
 
 
-def test_oscillating_demand_does_not_make_models_move():
+def test_oscillating_demand_does_not_move_models():
     deployment = Deployment(8)
     for _ in range(10):
         deployment.run_round({"a": 1.0, "b": 1.0})
-    settled = len(deployment.orders)
+    initial_orders = len(deployment.orders)
     rng = random.Random(5)
     for number in range(2000):
         wave = math.sin(2 * math.pi * number / 15)
         demand = 1.2 + 0.8 * wave + rng.uniform(-0.2, 0.2)
         deployment.run_round({"a": 2.4, "b": demand})
-    assert len(deployment.orders) - settled <= 8
+    assert len(deployment.orders) - initial_orders <= 8
 
 
-def test_busy_server_keeps_its_model():
+def test_model_is_unloaded_from_idle_server_only():
     placement = Placement(counts={"a": 2, "b": 0})
     busy = [make_server(index, "a", load=0.1) for index in range(6)]
     pool = Pool(name="p", kind=PoolKind.ENGINE, models=("a",))
@@ -117,15 +117,15 @@
     ]
 
 
-def test_missing_versions_are_loaded_one_order_a_server():
+def test_missing_versions_are_loaded_with_one_order_per_server():
     models = {"a": Model(name="a", versions=("1", "2"), adapters=("x",))}
     pool = Pool(name="p", kind=PoolKind.ENGINE, models=("a",))
     servers = [make_server(0, "a", parts=frozenset())]
     expected = Order("s0", OrderKind.LOAD, OrderTarget.VERSION, "a/1")
     assert list_orders(Placement(), pool, models, servers) == [expected]
-    assert not is_done(expected, servers[0])
+    assert not is_order_applied(expected, servers[0])
     loaded = servers[0]._replace(parts=frozenset({"a/1"}))
-    assert is_done(expected, loaded)
+    assert is_order_applied(expected, loaded)
     assert list_orders(Placement(), pool, models, [loaded])[0].name == "a/2"
 
 
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -6,10 +6,10 @@
 from ebonyhaven_decisions import (
     LeastConnectionsRouter,
     LoadAwareRouter,
-    Room,
     RoundRobinRouter,
     ServerReport,
     ServerTable,
+    SlotAllowance,
 )
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 from tests.decisions.scheduling import HERE, build_entries, build_item
 
 NOW = 10.0
-NOBODY = frozenset()
+NO_SERVERS = frozenset()
 
 
 def build_table(count=20, **options):
@@ -28,11 +28,11 @@
     return table
 
 
-def choose(router, table, item=None, room=None, excluded=NOBODY):
+def choose(router, table, item=None, allowance=None, excluded=NO_SERVERS):
     return router.choose(
         item or build_item("x"),
         table,
-        room=room or Room(),
+        allowance=allowance or SlotAllowance(),
         excluded=excluded,
         now=NOW,
     )
@@ -46,7 +46,7 @@
     )
 
 
-def test_independent_routers_do_not_herd_on_an_old_report():
+def test_independent_routers_spread_requests_despite_stale_report():
     table = build_table()
     table.get("s003").record_report(ServerReport(0, 0, NOW, capacity=16), 60.0)
     counts = Counter()
@@ -56,7 +56,7 @@
     assert max(counts.values()) <= 200 * 6 / 20
 
 
-def test_own_requests_spread_without_any_report():
+def test_requests_of_one_instance_spread_between_reports():
     table = build_table()
     router = LoadAwareRouter(random.Random(1), HERE)
     counts = Counter()
@@ -67,7 +67,7 @@
     assert max(counts.values()) <= 10
 
 
-def test_prefix_draws_to_its_holder_until_that_is_loaded():
+def test_server_with_cached_prefix_is_preferred_until_it_is_full():
     table = build_table()
     router = LoadAwareRouter(random.Random(1), HERE)
     item = build_item(
@@ -76,34 +76,37 @@
     router.record_cached("s005", "00ab", NOW)
     assert choose(router, table, item).server.name == "s005"
     assert choose(router, table, item).cached_tokens == 1900
-    holder = table.get("s005")
-    holder.record_report(ServerReport(16, 4, NOW, capacity=16), 60.0)
+    cached_server = table.get("s005")
+    cached_server.record_report(ServerReport(16, 4, NOW, capacity=16), 60.0)
     assert choose(router, table, item).server.name != "s005"
     router.record_evicted("s005", "00ab")
     assert choose(router, table, item).cached_tokens == 0
 
 
-def test_equal_servers_nearby_are_preferred():
-    near = build_entries(4)
-    far = build_entries(4, prefix="t", data_centre="dc-b")
+def test_servers_in_same_data_centre_are_preferred_at_equal_load():
+    same_centre = build_entries(4)
+    other_centre = build_entries(4, prefix="t", data_centre="dc-b")
     table = ServerTable()
-    table.replace(near + far)
+    table.replace(same_centre + other_centre)
     router = LoadAwareRouter(random.Random(1), HERE)
     counts = Counter(choose(router, table).server.name[0] for _ in range(50))
     assert counts["s"] > counts["t"]
 
 
-def test_room_is_kept_for_urgent_classes_and_resumes():
+def test_slots_are_reserved_for_urgent_classes_and_resumed_streams():
     table = build_table(1)
     state = table.get("s000")
     state.record_report(ServerReport(13, 0, NOW, capacity=16, pace_ms=30), 60.0)
     router = LoadAwareRouter(random.Random(1), HERE)
-    assert choose(router, table, room=Room(reserved_share=0.125)) is None
-    assert choose(router, table, room=Room(may_exceed_limit=True)) is not None
+    assert choose(router, table, allowance=SlotAllowance(reserved_share=0.125)) is None
+    assert (
+        choose(router, table, allowance=SlotAllowance(may_exceed_limit=True))
+        is not None
+    )
     state.record_report(ServerReport(15, 0, NOW, capacity=16, pace_ms=30), 60.0)
-    assert choose(router, table, room=Room(may_exceed_limit=True)) is None
-    resume = Room(may_exceed_limit=True, spare_slots=0)
-    assert choose(router, table, room=resume) is not None
+    assert choose(router, table, allowance=SlotAllowance(may_exceed_limit=True)) is None
+    resume_allowance = SlotAllowance(may_exceed_limit=True, spare_slots=0)
+    assert choose(router, table, allowance=resume_allowance) is not None
 
 
 @given(
@@ -111,7 +114,9 @@
     st.sets(st.integers(0, 5)),
     st.sets(st.integers(0, 5)),
 )
-def test_no_router_takes_excluded_leaving_or_suspect_servers(out, leaving, suspect):
+def test_no_router_chooses_excluded_leaving_or_suspect_servers(
+    excluded_indices, leaving, suspect
+):
     for router in build_routers():
         table = build_table(6)
         states = list(table)
@@ -119,8 +124,8 @@
             states[index].reports_leaving = True
         for index in suspect:
             states[index].record_failure(NOW)
-        excluded = {states[index].name for index in out}
-        usable = set(range(6)) - out - leaving - suspect
+        excluded = {states[index].name for index in excluded_indices}
+        usable = set(range(6)) - excluded_indices - leaving - suspect
         choice = choose(router, table, excluded=excluded)
         if not usable:
             assert choice is None
@@ -128,12 +133,12 @@
             assert choice.server.name in {states[index].name for index in usable}
 
 
-def test_no_router_takes_a_server_without_the_model():
+def test_no_router_chooses_a_server_without_the_model():
     for router in build_routers():
         assert choose(router, build_table(3), build_item("x", model="other")) is None
 
 
-def test_missing_model_is_remembered():
+def test_server_with_missing_model_is_not_chosen():
     table = build_table(1)
     table.get("s000").missing_models = frozenset({"dossier"})
     assert choose(LoadAwareRouter(random.Random(1), HERE), table) is None
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -156,8 +156,8 @@
         scheduler.cancel(f"fill{index}", 1.0)
     assert len(scheduler) == 0
     assert len(scheduler.dispatcher.flights) == 0
-    assert running[0].choice.server.own_in_flight == 0
-    assert running[0].choice.server.own_prefill_tokens == 0
+    assert running[0].choice.server.local_in_flight == 0
+    assert running[0].choice.server.local_prefill_tokens == 0
 
 
 def test_new_instance_before_full_servers_lets_requests_wait():
@@ -186,7 +186,7 @@
         assert [each.item.item_id for each in dispatches] == [
             f"fill{index}" for index in range(100)
         ]
-        loads = [state.own_in_flight for state in scheduler.dispatcher.table]
+        loads = [state.local_in_flight for state in scheduler.dispatcher.table]
         assert loads == [50, 50]
 
 
@@ -233,8 +233,8 @@
             assert refusal.retry_after_s > 0.0
             del open_items[refusal.item.item_id]
         assert len(open_items) == len(scheduler) + len(dispatcher.flights)
-        assert sum(state.own_in_flight for state in dispatcher.table) == len(running)
-        assert all(state.own_in_flight <= 4 for state in dispatcher.table)
+        assert sum(state.local_in_flight for state in dispatcher.table) == len(running)
+        assert all(state.local_in_flight <= 4 for state in dispatcher.table)
 
 
 def test_class_targets_read_from_a_declaration():
--- a/tests/decisions/test_servers.py
+++ b/tests/decisions/test_servers.py
@@ -20,7 +20,7 @@
     return ServerState(entry=ServerEntry("s000", "127.0.0.1:9000"))
 
 
-def test_own_dispatch_counts_at_once_and_only_once():
+def test_dispatched_request_is_counted_immediately_and_only_once():
     state = build_state()
     state.record_report(ServerReport(3, 0, 1.0), 60.0)
     state.record_dispatch(10, 2.0)
@@ -29,7 +29,7 @@
     assert abs(state.estimate_load(2.5) - 4.0) < 1e-9
 
 
-def test_report_from_before_a_dispatch_does_not_hide_it():
+def test_dispatch_after_a_measurement_is_added_to_the_reported_load():
     state = build_state()
     state.record_dispatch(10, 2.0)
     state.record_report(ServerReport(3, 0, 1.9), 60.0)
@@ -44,7 +44,7 @@
     assert not state.is_leaving
 
 
-def test_leaving_by_list_or_by_own_answer():
+def test_server_is_leaving_by_listing_or_by_report():
     state = build_state()
     state.record_report(ServerReport(0, 0, 1.0, is_leaving=True), 60.0)
     assert not state.is_usable(2.0)
@@ -54,20 +54,20 @@
     assert not state.is_usable(2.0)
 
 
-def test_server_that_looked_full_is_tried_again_without_reports():
+def test_load_estimate_of_full_server_decays_without_reports():
     state = build_state()
     state.record_report(ServerReport(16, 8, 0.0), 60.0)
     assert state.estimate_load(60.0) < 4.0
 
 
-def test_many_errors_at_one_time_pause_a_server_once():
+def test_simultaneous_failures_extend_the_backoff_once():
     state = build_state()
     for _ in range(16):
         state.record_failure(10.0)
     assert state.is_usable(11.5)
 
 
-def test_failed_server_returns_with_one_request_at_a_time():
+def test_recovering_server_gets_one_request_at_a_time():
     state = build_state()
     state.record_failure(10.0)
     assert not state.is_usable(10.5)
@@ -84,7 +84,7 @@
         max_size=60,
     )
 )
-def test_load_is_never_less_than_own_requests(events):
+def test_load_estimate_is_at_least_the_local_requests_in_flight(events):
     state = build_state()
     for now, (kind, running) in enumerate(events):
         if kind == "dispatch":
@@ -93,35 +93,35 @@
             state.record_end(now)
         else:
             state.record_report(ServerReport(running, 0, now - 0.5), 60.0)
-        assert state.estimate_load(now) >= state.own_in_flight >= 0
+        assert state.estimate_load(now) >= state.local_in_flight >= 0
 
 
-def test_table_keeps_what_it_knows_of_a_server():
+def test_replacing_the_list_keeps_the_state_of_listed_servers():
     table = ServerTable()
     table.replace(build_entries(3))
     table.get("s001").record_dispatch(0, 1.0)
     table.replace(build_entries(2))
-    assert table.get("s001").own_in_flight == 1
+    assert table.get("s001").local_in_flight == 1
     assert [state.name for state in table.list_for(MODEL)] == ["s000", "s001"]
 
 
-def test_placement_is_equal_on_all_instances_and_mostly_kept():
+def test_hash_placement_is_equal_on_all_instances_and_stable():
     digests = [random.Random(seed).randbytes(8).hex() for seed in range(200)]
     table, other = ServerTable(), ServerTable()
     table.replace(build_entries(20))
     other.replace(reversed(build_entries(20)))
-    first = [table.list_near(MODEL, digest, 2)[0].name for digest in digests]
-    assert first == [other.list_near(MODEL, digest, 2)[0].name for digest in digests]
+    first = [table.list_by_hash(MODEL, digest, 2)[0].name for digest in digests]
+    assert first == [other.list_by_hash(MODEL, digest, 2)[0].name for digest in digests]
     other.replace(build_entries(19))
     moved = [
         name
         for name, digest in zip(first, digests, strict=True)
-        if other.list_near(MODEL, digest, 2)[0].name != name
+        if other.list_by_hash(MODEL, digest, 2)[0].name != name
     ]
     assert set(moved) <= {"s019"}
 
 
-def test_load_digest_tells_load_and_suspicion():
+def test_load_digest_transfers_load_and_suspicion():
     table, other = ServerTable(), ServerTable()
     table.replace(build_entries(40))
     other.replace(build_entries(40))
@@ -132,12 +132,12 @@
     assert len(digest) == 16
     merge_load_digest(other, digest, 60.0, 10.0)
     assert not other.get("s007").is_usable(10.0)
-    told = [state for state in other if state.reported_at == 9.0]
-    assert len(told) == 15
-    assert all(state.estimate_load(9.0) == 6.0 for state in told)
+    reported = [state for state in other if state.reported_at == 9.0]
+    assert len(reported) == 15
+    assert all(state.estimate_load(9.0) == 6.0 for state in reported)
 
 
-def test_suspicion_of_another_instance_yields_to_a_later_answer():
+def test_remote_suspicion_is_ignored_after_a_later_answer():
     table, other = ServerTable(), ServerTable()
     table.replace(build_entries(1))
     other.replace(build_entries(1))
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -16,12 +16,12 @@
         continuation_s=continuation,
     )
     assert plan.suspect_after_s > gap
-    spent_s = plan.suspect_after_s + plan.probe_timeout_s + continuation
-    assert plan.prepare_in_parallel == (spent_s > target)
+    sequential_s = plan.suspect_after_s + plan.probe_timeout_s + continuation
+    assert plan.prepare_in_parallel == (sequential_s > target)
     assert plan.suspect_after_s + continuation <= target or target < 4 * gap
 
 
-def test_tight_target_prepares_in_parallel_and_a_loose_one_asks_first():
+def test_tight_target_prepares_in_parallel_and_loose_target_probes_first():
     pace = StreamPace(gap_s=0.03, deviation_s=0.01)
     tight = plan_resume(resume_target_s=0.5, pace=pace, continuation_s=0.3)
     loose = plan_resume(resume_target_s=5.0, pace=pace, continuation_s=0.3)
@@ -30,14 +30,14 @@
     assert tight.suspect_after_s < loose.suspect_after_s
 
 
-def test_pace_follows_a_batch_that_becomes_slower():
+def test_pace_converges_when_the_batch_slows_down():
     pace = StreamPace(gap_s=0.02, deviation_s=0.0)
     for _ in range(100):
         pace.record_gap(0.06)
     assert abs(pace.gap_s - 0.06) < 0.001
 
 
-def test_long_prefill_is_not_taken_for_silence():
+def test_long_prefill_is_not_suspected():
     plan = plan_resume(
         resume_target_s=1.0,
         pace=StreamPace(),
--- a/tests/forwarding/test_adoption.py
+++ b/tests/forwarding/test_adoption.py
@@ -111,7 +111,7 @@
         server.reset()
     world.advance(0.8)
     assert len(lost & {each.address for each in world.connections}) >= 2
-    assert not world.gateway._crashes._ledger.view()
+    assert not world.gateway._crashes._ledger.read_evidence()
 
 
 def test_reset_by_a_server_that_lives_is_no_evidence():
@@ -126,4 +126,4 @@
             if each.has_request():
                 each.read_request()
         caller.leave()
-    assert not world.gateway._crashes._ledger.view()
+    assert not world.gateway._crashes._ledger.read_evidence()
--- a/tests/node/test_policy_scheduling.py
+++ b/tests/node/test_policy_scheduling.py
@@ -3,8 +3,8 @@
 import random
 
 from ebonyhaven_decisions import (
+    Locality,
     OutcomeTag,
-    Place,
     RequestFailure,
     Scheduling,
     build_scheduler,
@@ -55,7 +55,7 @@
         scheduler=build_scheduler(
             Scheduling.FAIR,
             {},
-            place=Place("dc-a", "r1"),
+            place=Locality("dc-a", "r1"),
             random_source=random.Random(1),
             now=now,
         ),
