--- a/packages/decisions/src/ebonyhaven_decisions/__init__.py
+++ b/packages/decisions/src/ebonyhaven_decisions/__init__.py
@@ -171,7 +171,7 @@
 from ebonyhaven_decisions._queueing import (
     FairQueue,
     FifoQueue,
-    LaneKey,
+    SubqueueKey,
     WorkQueue,
 )
 from ebonyhaven_decisions._rings import (
@@ -188,8 +188,8 @@
     has_free_slot,
 )
 from ebonyhaven_decisions._scheduler import (
-    Decisions,
     Scheduler,
+    SchedulingDecisions,
 )
 from ebonyhaven_decisions._server_table import (
     ServerTable,
@@ -209,10 +209,10 @@
     UsageLedger,
 )
 from ebonyhaven_decisions._work import (
-    Choice,
     Dispatch,
     Refusal,
     RefusalReason,
+    ServerChoice,
     WorkItem,
     compute_cost,
 )
@@ -221,7 +221,7 @@
     "Acceptance",
     "BEFORE_FIRST",
     "CURRENT_KEY",
-    "Choice",
+    "ServerChoice",
     "ClaimRow",
     "ClaimVerdict",
     "Claimant",
@@ -235,7 +235,7 @@
     "CrashLedger",
     "CrashVerdict",
     "CurrentEntry",
-    "Decisions",
+    "SchedulingDecisions",
     "Declaration",
     "DeclarationChange",
     "DeclarationError",
@@ -258,7 +258,7 @@
     "HISTORY_PREFIX",
     "Heartbeat",
     "LEASE_PREFIX",
-    "LaneKey",
+    "SubqueueKey",
     "LeaseAction",
     "LeaseRow",
     "LeaseTerms",
--- a/packages/decisions/src/ebonyhaven_decisions/_admission.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request can still meet the targets of its class."""
+"""Admission of requests by the targets of their class."""
 
 from __future__ import annotations
 
@@ -12,47 +12,47 @@
 from ebonyhaven_decisions._policies import ClassPolicy
 from ebonyhaven_decisions._work import Refusal, RefusalReason, WorkItem
 
-RETRY_MIN_S = 0.25
-RETRY_MAX_S = 30.0
-RETRY_JITTER = 0.25
-PLAIN_QUEUE_LIMIT_S = 60.0
-MAX_QUEUED = 4096
+RETRY_AFTER_MIN_S = 0.25
+RETRY_AFTER_MAX_S = 30.0
+RETRY_AFTER_JITTER_RATIO = 0.25
+FIXED_QUEUE_LIMIT_S = 60.0
+MAX_QUEUED_REQUESTS = 4096
 
 
 class Forecast(NamedTuple):
-    """What is expected of a waiting request.
+    """Predicted service of a waiting request.
 
     Parameters
     ----------
     queue_s : float
-        Further time in the queue, seconds; infinite when nothing is served.
+        Remaining time in the queue, seconds; infinite when nothing is served.
     first_token_s : float
         Time from now to the first token, seconds.
-    end_s : float
-        Time from now to the end, seconds.
+    completion_s : float
+        Time from now to the end of the output, seconds.
     """
 
     queue_s: float
     first_token_s: float
-    end_s: float
+    completion_s: float
 
 
 @attrs.define(slots=True, kw_only=True)
 class ServiceRate:
-    """Speed at which a class is served at this instance.
+    """Rate at which this instance serves a class.
 
     Parameters
     ----------
-    ends_per_s : float
-        Requests a second that end and leave their slot to the class.
+    completions_per_s : float
+        Requests per second that complete and leave their slot to the class.
     mean_cost : float
-        Service of a typical request, decode tokens.
+        Mean service of a request, decode tokens.
     pace_ms : float
         Gap between tokens, milliseconds.
     prefill_tokens_per_s : float
     """
 
-    ends_per_s: float
+    completions_per_s: float
     mean_cost: float
     pace_ms: float
     prefill_tokens_per_s: float
@@ -61,43 +61,43 @@
 def forecast_service(
     item: WorkItem, *, tokens_ahead: float, output_tokens: float, rate: ServiceRate
 ) -> Forecast:
-    """Predict the service of a request that found no free server.
+    """Predict the service of a request for which no server is free.
 
     Parameters
     ----------
     item : WorkItem
     tokens_ahead : float
-        Service that goes first, decode tokens.
+        Service of the requests that are served before it, decode tokens.
     output_tokens : float
-        Expected length of the output.
+        Expected length of the output, tokens.
     rate : ServiceRate
 
     Returns
     -------
     Forecast
     """
-    if rate.ends_per_s <= 0.0:
+    if rate.completions_per_s <= 0.0:
         return Forecast(math.inf, math.inf, math.inf)
     requests_ahead = tokens_ahead / max(rate.mean_cost, 1.0)
-    queue_s = (requests_ahead + 1.0) / rate.ends_per_s
+    queue_s = (requests_ahead + 1.0) / rate.completions_per_s
     prefill_s = item.prompt_tokens / rate.prefill_tokens_per_s
     first_token_s = queue_s + prefill_s + rate.pace_ms / 1000.0
-    end_s = first_token_s + output_tokens * rate.pace_ms / 1000.0
-    return Forecast(queue_s, first_token_s, end_s)
+    completion_s = first_token_s + output_tokens * rate.pace_ms / 1000.0
+    return Forecast(queue_s, first_token_s, completion_s)
 
 
 class Admission(abc.ABC):
-    """Refuses the requests that would be late."""
+    """Refuses requests that cannot be served in time."""
 
     @abc.abstractmethod
     def compute_queue_limit_s(self, policy: ClassPolicy) -> float:
-        """Return the longest time in the queue, seconds."""
+        """Return the longest time in the queue for a class, seconds."""
 
     @abc.abstractmethod
     def check(
         self, item: WorkItem, policy: ClassPolicy, forecast: Forecast, now: float
     ) -> Refusal | None:
-        """Return a refusal when the request cannot meet its targets.
+        """Return a refusal if the request cannot meet its targets, else None.
 
         Parameters
         ----------
@@ -109,37 +109,39 @@
         """
 
     def refuse(self, item: WorkItem, reason: RefusalReason, wait_s: float) -> Refusal:
-        """Refuse a request and say when to come back.
+        """Refuse a request and set the delay of its retry.
 
         Parameters
         ----------
         item : WorkItem
         reason : RefusalReason
         wait_s : float
-            Time until another try may be admitted, seconds; it is clipped.
+            Time until a retry may be admitted, seconds; clipped to
+            `RETRY_AFTER_MIN_S` and `RETRY_AFTER_MAX_S`.
 
         Returns
         -------
         Refusal
         """
-        clipped = min(max(wait_s, RETRY_MIN_S), RETRY_MAX_S)
+        clipped = min(max(wait_s, RETRY_AFTER_MIN_S), RETRY_AFTER_MAX_S)
         return Refusal(item=item, reason=reason, retry_after_s=clipped)
 
 
 class PredictiveAdmission(Admission):
-    """Compares the forecast with the targets of the class.
+    """Refuses requests whose forecast misses the targets of their class.
 
     Parameters
     ----------
     random_source : random.Random
-        Spreads the retry times, so that refused callers do not return at once.
+        Source of the jitter that keeps refused callers from retrying all at the
+        same time.
     """
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
 
     def compute_queue_limit_s(self, policy: ClassPolicy) -> float:
-        """Return the queue limit of the class; see `Admission`."""
+        """Return the queue limit of the policy; see `Admission`."""
         return policy.queue_limit_s
 
     def check(
@@ -153,27 +155,27 @@
         )
         if late_s > 0.0:
             return self.refuse(item, RefusalReason.LATE_FIRST_TOKEN, late_s)
-        if now + forecast.end_s > item.deadline:
-            late_s = now + forecast.end_s - item.deadline
+        if now + forecast.completion_s > item.deadline:
+            late_s = now + forecast.completion_s - item.deadline
             return self.refuse(item, RefusalReason.LATE_END, late_s)
         return None
 
     def refuse(self, item: WorkItem, reason: RefusalReason, wait_s: float) -> Refusal:
-        """Refuse with a spread retry time; see `Admission.refuse`."""
-        wait_s = min(max(wait_s, RETRY_MIN_S), RETRY_MAX_S)
-        spread = 1.0 + RETRY_JITTER * self._random.random()
-        return super().refuse(item, reason, wait_s * spread)
+        """Refuse and add jitter to the retry delay; see `Admission.refuse`."""
+        wait_s = min(max(wait_s, RETRY_AFTER_MIN_S), RETRY_AFTER_MAX_S)
+        jitter = 1.0 + RETRY_AFTER_JITTER_RATIO * self._random.random()
+        return super().refuse(item, reason, wait_s * jitter)
 
 
-class PlainAdmission(Admission):
-    """Admits all requests and refuses those that waited a fixed time."""
+class FixedTimeoutAdmission(Admission):
+    """Admits all requests and limits their time in the queue to a constant."""
 
     def compute_queue_limit_s(self, policy: ClassPolicy) -> float:
         """Return the same queue limit for all classes; see `Admission`."""
-        return PLAIN_QUEUE_LIMIT_S
+        return FIXED_QUEUE_LIMIT_S
 
     def check(
         self, item: WorkItem, policy: ClassPolicy, forecast: Forecast, now: float
     ) -> Refusal | None:
-        """Admit; see `Admission.check`."""
+        """Admit the request; see `Admission.check`."""
         return None
--- a/packages/decisions/src/ebonyhaven_decisions/_assembly.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_assembly.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Mapping
 
-from ebonyhaven_decisions._admission import PlainAdmission, PredictiveAdmission
+from ebonyhaven_decisions._admission import FixedTimeoutAdmission, PredictiveAdmission
 from ebonyhaven_decisions._dispatching import Dispatcher
 from ebonyhaven_decisions._policies import ClassPolicy
 from ebonyhaven_decisions._queueing import FairQueue, FifoQueue
@@ -60,10 +60,14 @@
         router = RoundRobinRouter()
     else:
         router = LeastConnectionsRouter(random_source)
-    dispatcher = Dispatcher(policies, router=router, ledger=ledger, has_limits=is_fair)
+    dispatcher = Dispatcher(
+        policies, router=router, ledger=ledger, enforces_limits=is_fair
+    )
     return Scheduler(
         dispatcher,
         queue=FairQueue(policies, ledger) if is_fair else FifoQueue(),
-        admission=PredictiveAdmission(random_source) if is_fair else PlainAdmission(),
+        admission=PredictiveAdmission(random_source)
+        if is_fair
+        else FixedTimeoutAdmission(),
         random_source=random_source,
     )
--- a/packages/decisions/src/ebonyhaven_decisions/_dispatching.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_dispatching.py
@@ -1,4 +1,4 @@
-"""Running requests of an instance: dispatch, progress, end and failure."""
+"""Dispatch, progress, completion and failure of the requests of an instance."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping, Set
 from typing import NamedTuple
 
-from ebonyhaven_decisions._flights import Flight, FlightTable
+from ebonyhaven_decisions._in_flight import InFlightRequest, InFlightTable
 from ebonyhaven_decisions._policies import ClassPolicy
 from ebonyhaven_decisions._reservations import Reservation, Reservations
 from ebonyhaven_decisions._routing import SPARE_SLOTS, Router, SlotAllowance
@@ -19,19 +19,19 @@
     ServerState,
 )
 from ebonyhaven_decisions._usage import UsageLedger
-from ebonyhaven_decisions._work import Choice, Dispatch, WorkItem, compute_cost
-
-YIELD_SHARE = 0.0625
-MAX_FREED = 4
-MAX_FREED_KEPT = 32
-FREED_S = 1.0
-UNDERSERVED_SHARE = 0.5
-SLOT_COUNT_PERIOD_S = 1.0
+from ebonyhaven_decisions._work import Dispatch, ServerChoice, WorkItem, compute_cost
+
+YIELDED_SLOTS_SHARE = 0.0625
+MAX_FREED_SERVERS = 4
+MAX_FREED_SLOTS = 32
+FREED_SLOT_TTL_S = 1.0
+UNDERSERVED_USAGE_RATIO = 0.5
+SLOT_COUNT_CACHE_S = 1.0
 DEFAULT_GAP_LIMIT_MS = 1000.0
 
 
 class FailureKind(enum.Enum):
-    """Why a request left its backend server without an end."""
+    """Why a backend server did not complete a request."""
 
     LOST = "lost"
     FULL = "full"
@@ -40,32 +40,42 @@
     REFUSED = "refused"
 
 
-class _Freed(NamedTuple):
-    at: float
+class _FreedSlot(NamedTuple):
+    freed_at: float
     server: ServerState
 
 
 class Dispatcher:
-    """Sends requests to servers and follows them until they end.
+    """Assigns requests to servers and tracks them until they end.
 
     Parameters
     ----------
     policies : mapping of str to ClassPolicy
     router : Router
     ledger : UsageLedger
-    has_limits : bool
-        Whether requests wait at the instance rather than in the servers.
+    enforces_limits : bool
+        Whether requests wait at the instance while the slots of the servers are in
+        use; otherwise they wait in the queues of the servers.
+
+    Attributes
+    ----------
+    table : ServerTable
+    in_flight_requests : InFlightTable
+    server_failures : int
+        Number of lost requests and of servers found unreachable.
+    change_count : int
+        Number of changes after which a waiting request may find a free slot.
     """
 
     __slots__ = (
-        "_freed",
-        "_has_limits",
+        "_freed_slots",
+        "_enforces_limits",
         "_reservations",
         "_slots",
-        "changes",
-        "flights",
+        "change_count",
+        "in_flight_requests",
         "ledger",
-        "losses",
+        "server_failures",
         "policies",
         "router",
         "table",
@@ -77,56 +87,56 @@
         *,
         router: Router,
         ledger: UsageLedger,
-        has_limits: bool = True,
+        enforces_limits: bool = True,
     ) -> None:
         self.policies = policies
         self.router = router
         self.ledger = ledger
         self.table = ServerTable()
-        self.flights = FlightTable()
-        self.losses = 0
-        self.changes = 0
-        self._has_limits = has_limits
-        self._reservations = Reservations(self.table, self.flights)
-        self._freed: deque[_Freed] = deque(maxlen=MAX_FREED_KEPT)
+        self.in_flight_requests = InFlightTable()
+        self.server_failures = 0
+        self.change_count = 0
+        self._enforces_limits = enforces_limits
+        self._reservations = Reservations(self.table, self.in_flight_requests)
+        self._freed_slots: deque[_FreedSlot] = deque(maxlen=MAX_FREED_SLOTS)
         self._slots: dict[str, tuple[float, float]] = {}
 
     def replace_servers(self, entries: Iterable[ServerEntry]) -> None:
-        """Take over the list of servers; see `ServerTable.replace`."""
-        self.changes += 1
+        """Replace the list of servers; see `ServerTable.replace`."""
+        self.change_count += 1
         self.table.replace(entries)
 
     def choose(
-        self, item: WorkItem, *, excluded: Set[str], yields: bool, now: float
-    ) -> Choice | None:
-        """Choose a server with room for a request that has not run.
+        self, item: WorkItem, *, excluded: Set[str], must_yield: bool, now: float
+    ) -> ServerChoice | None:
+        """Choose a server with a usable slot for a request that has not run.
 
         Parameters
         ----------
         item : WorkItem
         excluded : set of str
             Servers that must not be chosen.
-        yields : bool
-            Whether room is left to another instance.
+        must_yield : bool
+            Whether slots are left free for another instance.
         now : float
             Seconds.
 
         Returns
         -------
-        Choice or None
+        ServerChoice or None
         """
-        room = self._compute_room(item, yields, now)
+        room = self._compute_usable_slots(item, must_yield, now)
         return self.router.choose(
             item, self.table, allowance=room, excluded=excluded, now=now
         )
 
-    def dispatch(self, item: WorkItem, choice: Choice, now: float) -> Dispatch:
-        """Count a request as running on the chosen server.
+    def dispatch(self, item: WorkItem, choice: ServerChoice, now: float) -> Dispatch:
+        """Record a request as in flight on the chosen server.
 
         Parameters
         ----------
         item : WorkItem
-        choice : Choice
+        choice : ServerChoice
         now : float
             Seconds.
 
@@ -134,23 +144,25 @@
         -------
         Dispatch
         """
-        self.record_end(item.item_id, now, is_whole=False)
-        prefill = max(item.prompt_tokens - choice.cached_tokens, 0)
-        cost = compute_cost(prefill, self.flights.estimate_output(item))
-        flight = Flight(
+        self.record_end(item.item_id, now, is_complete=False)
+        prefill_tokens = max(item.prompt_tokens - choice.cached_tokens, 0)
+        cost = compute_cost(
+            prefill_tokens, self.in_flight_requests.estimate_output_tokens(item)
+        )
+        request = InFlightRequest(
             item=item,
             choice=choice,
             dispatched_at=now,
-            prefill_tokens=prefill,
-            charged=cost,
+            prefill_tokens=prefill_tokens,
+            charged_tokens=cost,
         )
-        self.flights.add(flight, now)
-        self._take_freed(choice.server)
+        self.in_flight_requests.add(request, now)
+        self._consume_freed_slot(choice.server)
         policy = self.policies.get(item.class_name)
         priority = 0
-        if policy is not None and self._has_limits:
-            is_behind = self.is_underserved(item, now)
-            priority = 2 * policy.engine_priority + (0 if is_behind else 1)
+        if policy is not None and self._enforces_limits:
+            is_underserved = self.is_underserved(item, now)
+            priority = 2 * policy.engine_priority + (0 if is_underserved else 1)
         self.ledger.charge((item.class_name, item.workspace), cost, now)
         self.router.record_dispatch(item, choice.server, now)
         return Dispatch(item=item, choice=choice, engine_priority=priority)
@@ -158,10 +170,10 @@
     def route_resume(
         self, item: WorkItem, excluded: Set[str], now: float
     ) -> Dispatch | None:
-        """Choose a server at once for a stream that lost its own.
+        """Choose a server immediately for a stream whose server was lost.
 
-        Room kept for resumes is used first; when there is none, the stream waits
-        in the queue of the least loaded server.
+        Slots reserved for resumed streams come first. If none is free, the stream
+        waits in the queue of the server that the router chooses.
 
         Parameters
         ----------
@@ -174,7 +186,7 @@
         Returns
         -------
         Dispatch or None
-            None when no usable server is known.
+            None if no usable server is known.
         """
         for room in (
             SlotAllowance(may_exceed_limit=True, spare_slots=0),
@@ -188,51 +200,51 @@
         return None
 
     def record_first_token(self, item_id: str, now: float) -> None:
-        """Learn from the time to the first token of a request."""
-        flight = self.flights.get(item_id)
-        if flight is None or flight.has_first_token:
+        """Record the first token and correct the predictions for its server."""
+        request = self.in_flight_requests.get(item_id)
+        if request is None or request.has_first_token:
             return
-        flight.has_first_token = True
-        flight.server.release_prefill_tokens(flight.prefill_tokens)
-        flight.server.record_first_token(
-            predicted_s=flight.choice.predicted_first_token_s,
-            observed_s=now - flight.dispatched_at,
+        request.has_first_token = True
+        request.server.release_prefill_tokens(request.prefill_tokens)
+        request.server.record_first_token(
+            predicted_s=request.choice.predicted_first_token_s,
+            observed_s=now - request.dispatched_at,
             now=now,
         )
 
     def record_tokens(self, item_id: str, count: int, now: float) -> None:
-        """Count decoded tokens; those beyond the estimate are charged at once."""
-        flight = self.flights.get(item_id)
-        if flight is None:
+        """Count decoded tokens and charge those beyond the estimate."""
+        request = self.in_flight_requests.get(item_id)
+        if request is None:
             return
-        flight.decoded += count
-        used = compute_cost(flight.prefill_tokens, flight.decoded)
-        if used > flight.charged:
-            self._charge(flight, used, now)
+        request.decoded_tokens += count
+        used_tokens = compute_cost(request.prefill_tokens, request.decoded_tokens)
+        if used_tokens > request.charged_tokens:
+            self._charge(request, used_tokens, now)
 
-    def record_end(self, item_id: str, now: float, *, is_whole: bool = True) -> None:
-        """Free the slot of a request and correct its charge to what it used.
+    def record_end(self, item_id: str, now: float, *, is_complete: bool = True) -> None:
+        """Free the slot of a request and correct its charge to its actual cost.
 
         Parameters
         ----------
         item_id : str
         now : float
             Seconds.
-        is_whole : bool
-            Whether the output ended by itself.
+        is_complete : bool
+            Whether the output is complete.
         """
-        flight = self.flights.pop(item_id, now)
-        if flight is None:
+        request = self.in_flight_requests.pop(item_id, now)
+        if request is None:
             return
-        self.changes += 1
-        self._freed.append(_Freed(now, flight.server))
-        used = compute_cost(flight.prefill_tokens, flight.decoded)
-        self._charge(flight, used, now)
-        if is_whole:
-            self.flights.record_output(flight)
+        self.change_count += 1
+        self._freed_slots.append(_FreedSlot(now, request.server))
+        used_tokens = compute_cost(request.prefill_tokens, request.decoded_tokens)
+        self._charge(request, used_tokens, now)
+        if is_complete:
+            self.in_flight_requests.record_output_length(request)
 
     def record_failure(self, item_id: str, kind: FailureKind, now: float) -> None:
-        """Free the slot of a request whose server failed or refused it.
+        """Free the slot of a request that its server lost or refused.
 
         Parameters
         ----------
@@ -241,23 +253,23 @@
         now : float
             Seconds.
         """
-        flight = self.flights.get(item_id)
-        if flight is None:
+        request = self.in_flight_requests.get(item_id)
+        if request is None:
             return
-        self.record_end(item_id, now, is_whole=False)
-        server = flight.server
+        self.record_end(item_id, now, is_complete=False)
+        server = request.server
         if kind is FailureKind.LOST:
             server.record_failure(now)
-            self.losses += 1
+            self.server_failures += 1
         elif kind is FailureKind.FULL:
             server.record_full(now)
         elif kind is FailureKind.LEAVING:
             server.reports_leaving = True
         elif kind is FailureKind.MODEL_MISSING:
-            server.missing_models |= {flight.item.model}
+            server.missing_models |= {request.item.model}
 
     def record_unreachable(self, server: str, now: float) -> None:
-        """Keep new work off a server that could not be reached.
+        """Mark a server that could not be reached as suspect.
 
         Parameters
         ----------
@@ -269,11 +281,11 @@
         if state is None:
             return
         if not state.is_suspect(now):
-            self.losses += 1
+            self.server_failures += 1
         state.record_failure(now)
 
     def record_report(self, server: str, report: ServerReport) -> None:
-        """Take over a load report of a server.
+        """Apply a load report of a server.
 
         Parameters
         ----------
@@ -282,22 +294,25 @@
         """
         state = self.table.get(server)
         if state is not None:
-            self.changes += 1
+            self.change_count += 1
             state.record_report(report, self.read_gap_limit_ms())
 
-    def list_not_more_urgent(self, policy: ClassPolicy) -> list[str]:
-        """Return the classes whose freed slots a class may take."""
+    def list_classes_not_more_urgent(self, policy: ClassPolicy) -> list[str]:
+        """Return the classes that are not more urgent than a policy.
+
+        Requests of the class may use the slots that these classes free.
+        """
         return [
             name for name, other in self.policies.items() if other.rank >= policy.rank
         ]
 
     def read_gap_limit_ms(self) -> float:
-        """Return the gap that a batch may reach for all classes, milliseconds."""
+        """Return the smallest gap limit of all classes, milliseconds."""
         limits = [policy.gap_limit_ms for policy in self.policies.values()]
         return min(limits, default=DEFAULT_GAP_LIMIT_MS)
 
     def read_reservation(self, model: str, rank: int, now: float) -> Reservation:
-        """Return what classes more urgent than a rank have reserved.
+        """Return the reservation of the classes with a smaller rank.
 
         Parameters
         ----------
@@ -319,7 +334,7 @@
         )
 
     def is_underserved(self, item: WorkItem, now: float) -> bool:
-        """Return whether the workspace of a request consumed far less than others.
+        """Return whether the workspace of a request consumed far less than the mean.
 
         Parameters
         ----------
@@ -329,18 +344,18 @@
         """
         key = (item.class_name, item.workspace)
         mean = self.ledger.read_mean(item.class_name, now)
-        return self.ledger.read(key) < UNDERSERVED_SHARE * mean
+        return self.ledger.read(key) < UNDERSERVED_USAGE_RATIO * mean
 
-    def estimate_share_ends_per_s(
+    def estimate_share_completions_per_s(
         self, model: str, mean_cost: float, now: float
     ) -> float:
-        """Return the ends a second on an equal share of all slots.
+        """Return the completions per second on an equal share of all slots.
 
         Parameters
         ----------
         model : str
         mean_cost : float
-            Service of a typical request, decode tokens.
+            Mean service of a request, decode tokens.
         now : float
             Seconds.
 
@@ -349,46 +364,51 @@
         float
         """
         slots = self._count_slots(model, now) / self.ledger.instances
-        return slots * 1000.0 / self.flights.pace_ms / max(mean_cost, 1.0)
+        return slots * 1000.0 / self.in_flight_requests.pace_ms / max(mean_cost, 1.0)
 
-    def _charge(self, flight: Flight, used: float, now: float) -> None:
-        key = (flight.item.class_name, flight.item.workspace)
-        self.ledger.charge(key, used - flight.charged, now)
-        flight.charged = used
+    def _charge(self, request: InFlightRequest, used_tokens: float, now: float) -> None:
+        key = (request.item.class_name, request.item.workspace)
+        self.ledger.charge(key, used_tokens - request.charged_tokens, now)
+        request.charged_tokens = used_tokens
 
-    def _compute_room(self, item: WorkItem, yields: bool, now: float) -> SlotAllowance:
-        if not self._has_limits:
+    def _compute_usable_slots(
+        self, item: WorkItem, must_yield: bool, now: float
+    ) -> SlotAllowance:
+        if not self._enforces_limits:
             return SlotAllowance(is_unbounded=True)
         policy = self.policies[item.class_name]
         is_urgent = policy.reserved_share > 0.0
-        is_behind = self.is_underserved(item, now)
-        kept_from = self.read_reservation(item.model, policy.rank, now)
-        kept_for = self.read_reservation(item.model, policy.rank + 1, now)
+        is_underserved = self.is_underserved(item, now)
+        urgent_reservation = self.read_reservation(item.model, policy.rank, now)
+        inclusive_reservation = self.read_reservation(item.model, policy.rank + 1, now)
         return SlotAllowance(
-            reserved_share=kept_from.share + (YIELD_SHARE if yields else 0.0),
-            may_exceed_limit=is_urgent and not yields,
-            spare_slots=0 if is_behind else SPARE_SLOTS,
-            avoided=frozenset() if is_behind else kept_from.names,
-            preferred=kept_for.servers if is_urgent else (),
-            freed=() if yields else self._list_freed(now),
-            capped=kept_from.names,
+            reserved_share=urgent_reservation.slots_share
+            + (YIELDED_SLOTS_SHARE if must_yield else 0.0),
+            may_exceed_limit=is_urgent and not must_yield,
+            spare_slots=0 if is_underserved else SPARE_SLOTS,
+            avoided=frozenset() if is_underserved else urgent_reservation.server_names,
+            preferred=inclusive_reservation.servers if is_urgent else (),
+            freed=() if must_yield else self._list_freed_servers(now),
+            capped=urgent_reservation.server_names,
         )
 
-    def _list_freed(self, now: float) -> tuple[ServerState, ...]:
-        while self._freed and now - self._freed[0].at > FREED_S:
-            self._freed.popleft()
-        servers = dict.fromkeys(freed.server for freed in reversed(self._freed))
-        return tuple(itertools.islice(servers, MAX_FREED))
-
-    def _take_freed(self, server: ServerState) -> None:
-        for freed in self._freed:
-            if freed.server is server:
-                self._freed.remove(freed)
+    def _list_freed_servers(self, now: float) -> tuple[ServerState, ...]:
+        while (
+            self._freed_slots and now - self._freed_slots[0].freed_at > FREED_SLOT_TTL_S
+        ):
+            self._freed_slots.popleft()
+        servers = dict.fromkeys(slot.server for slot in reversed(self._freed_slots))
+        return tuple(itertools.islice(servers, MAX_FREED_SERVERS))
+
+    def _consume_freed_slot(self, server: ServerState) -> None:
+        for slot in self._freed_slots:
+            if slot.server is server:
+                self._freed_slots.remove(slot)
                 return
 
     def _count_slots(self, model: str, now: float) -> float:
         counted_at, slots = self._slots.get(model, (float("-inf"), 1.0))
-        if now - counted_at >= SLOT_COUNT_PERIOD_S:
+        if now - counted_at >= SLOT_COUNT_CACHE_S:
             servers = self.table.list_for(model)
             slots = max(sum(server.capacity for server in servers), 1.0)
             self._slots[model] = (now, slots)
--- a/packages/decisions/src/ebonyhaven_decisions/_limits.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_limits.py
@@ -1,4 +1,4 @@
-"""Adaptive concurrency of a backend server, and the budget of retries."""
+"""Adaptive concurrency limit of a backend server, and retry budgets."""
 
 from __future__ import annotations
 
@@ -8,81 +8,81 @@
 
 INITIAL_SLOTS = 8.0
 MIN_SLOTS = 1.0
-LIMIT_SMOOTHING = 0.3
-LIMIT_GROWTH = 1.25
-BUSY_SHARE = 0.75
+LIMIT_SMOOTHING_FACTOR = 0.3
+LIMIT_GROWTH_FACTOR = 1.25
+BUSY_SLOTS_SHARE = 0.75
 
 RETRIES_PER_REQUEST = 0.1
-RETRY_BUDGET_MAX = 5.0
-RETRY_BUDGET_INITIAL = 1.0
+MAX_BUDGETED_RETRIES = 5.0
+INITIAL_BUDGETED_RETRIES = 1.0
 RETRY_COST = 1.0
 MAX_RETRY_BUDGETS = 4096
 
 
 @attrs.define(slots=True, kw_only=True)
 class ConcurrencyLimit:
-    """Number of sequences up to which a backend server keeps the gap target.
+    """Largest number of sequences at which a backend server meets the gap target.
 
-    The limit moves with the observed pace: towards the number of sequences that
-    would stretch the pace to the target when the batch is well used, and down
-    at once when the pace is over the target.
+    The limit follows the observed pace. While the batch is busy, it moves towards
+    the number of sequences whose pace would equal the target. While the pace
+    exceeds the target, it decreases, however full the batch is.
 
     Parameters
     ----------
     slots : float
-        Present limit, sequences.
+        Current limit, sequences.
     """
 
     slots: float = INITIAL_SLOTS
-    _is_known: bool = attrs.field(default=False, init=False)
+    _has_capacity: bool = attrs.field(default=False, init=False)
 
     def record_capacity(self, capacity: int) -> None:
-        """Take over the capacity that the server reports.
+        """Apply the capacity that the server reports.
 
         Parameters
         ----------
         capacity : int
-            Sequences that the server runs at once.
+            Sequences that the server runs at most.
         """
-        if not self._is_known:
-            self._is_known = True
+        if not self._has_capacity:
+            self._has_capacity = True
             self.slots = max(MIN_SLOTS, float(capacity))
         self.slots = min(self.slots, float(capacity))
 
     def record_pace(
         self, *, running: int, pace_ms: float, gap_limit_ms: float, capacity: int
     ) -> None:
-        """Adapt the limit to an observed pace.
+        """Adjust the limit to an observed pace.
 
         Parameters
         ----------
         running : int
-            Sequences that ran when the pace was measured.
+            Sequences that were running when the pace was measured.
         pace_ms : float
             Gap between tokens, milliseconds.
         gap_limit_ms : float
-            Largest gap that is allowed, milliseconds.
+            Largest allowed gap between tokens, milliseconds.
         capacity : int
             Sequences that the server runs at most.
         """
         if running < 1 or pace_ms <= 0.0:
             return
-        is_over = pace_ms > gap_limit_ms
-        if not is_over and running < self.slots * BUSY_SHARE:
+        exceeds_target = pace_ms > gap_limit_ms
+        if not exceeds_target and running < self.slots * BUSY_SLOTS_SHARE:
             return
-        wanted = running * gap_limit_ms / pace_ms
-        wanted = min(wanted, self.slots * LIMIT_GROWTH + 1.0)
-        if is_over:
-            wanted = min(wanted, self.slots)
-        moved = self.slots + LIMIT_SMOOTHING * (wanted - self.slots)
-        self.slots = min(max(moved, MIN_SLOTS), float(capacity))
+        target_slots = running * gap_limit_ms / pace_ms
+        target_slots = min(target_slots, self.slots * LIMIT_GROWTH_FACTOR + 1.0)
+        if exceeds_target:
+            target_slots = min(target_slots, self.slots)
+        smoothed = self.slots + LIMIT_SMOOTHING_FACTOR * (target_slots - self.slots)
+        self.slots = min(max(smoothed, MIN_SLOTS), float(capacity))
 
 
 class RetryBudget:
-    """Bounds the retries of each class and workspace by its first attempts.
+    """Limits the retries of each class and workspace by its first attempts.
 
-    Each first attempt earns a tenth of a retry, so that lost backend servers
-    cannot multiply the load on the others.
+    Each first attempt adds a tenth of a retry to the budget, so the retries after
+    the loss of backend servers cannot multiply the load on the others.
     """
 
     __slots__ = ("_balances", "attempts", "refused", "retries")
@@ -93,8 +93,8 @@
         self.retries = 0
         self.refused = 0
 
-    def record_attempt(self, class_name: str, workspace: str) -> None:
-        """Earn a share of a retry by a first attempt.
+    def record_first_attempt(self, class_name: str, workspace: str) -> None:
+        """Add a fraction of a retry to the budget for a first attempt.
 
         Parameters
         ----------
@@ -102,10 +102,10 @@
         """
         self.attempts += 1
         balance = self._read(class_name, workspace) + RETRIES_PER_REQUEST
-        self._store(class_name, workspace, min(balance, RETRY_BUDGET_MAX))
+        self._store(class_name, workspace, min(balance, MAX_BUDGETED_RETRIES))
 
     def take_retry(self, class_name: str, workspace: str) -> bool:
-        """Spend one retry.
+        """Spend one retry if the budget allows it.
 
         Parameters
         ----------
@@ -114,7 +114,7 @@
         Returns
         -------
         bool
-            Whether the budget allowed it.
+            Whether the retry is allowed.
         """
         balance = self._read(class_name, workspace)
         if balance < RETRY_COST:
@@ -125,7 +125,7 @@
         return True
 
     def _read(self, class_name: str, workspace: str) -> float:
-        return self._balances.get((class_name, workspace), RETRY_BUDGET_INITIAL)
+        return self._balances.get((class_name, workspace), INITIAL_BUDGETED_RETRIES)
 
     def _store(self, class_name: str, workspace: str, balance: float) -> None:
         self._balances[class_name, workspace] = balance
--- a/packages/decisions/src/ebonyhaven_decisions/_policies.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_policies.py
@@ -1,4 +1,4 @@
-"""Scheduling policy of each class, derived from its targets alone."""
+"""Scheduling policies of the classes, derived from their targets."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 import attrs
 
 MS_PER_S = 1000.0
-MAX_RESERVED_SHARE = 0.25
-GAP_HEADROOM = 0.95
-QUEUE_SHARE_OF_FIRST_TOKEN = 0.5
+MAX_RESERVED_SLOTS_SHARE = 0.25
+GAP_LIMIT_RATIO = 0.95
+FIRST_TOKEN_QUEUE_SHARE = 0.5
 
 
 class ClassTargets(NamedTuple):
-    """Targets that operators give to a class of work.
+    """Latency targets of a class, set by the operators.
 
     Parameters
     ----------
     first_token_ms : float
-        Time from arrival, or from the end of the allowed wait, to the first
-        token.
+        Time to the first token, counted from the arrival or from the end of the
+        allowed wait.
     gap_ms : float
-        Time between two tokens.
+        Time between two consecutive tokens.
     resume_ms : float
-        Time from the death of a backend server until the stream goes on.
+        Time from the loss of a backend server until its streams resume.
     may_wait_ms : float
-        Time that a request may spend in a queue on top of `first_token_ms`.
+        Time that a request may wait in a queue in addition to `first_token_ms`.
     """
 
     first_token_ms: float
@@ -37,25 +37,26 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ClassPolicy:
-    """What the scheduler does with the requests of one class.
+    """Limits and priority that the scheduler applies to one class.
 
     Parameters
     ----------
     name : str
     rank : int
-        Position in the order of service; 0 is served first. Classes with equal
-        patience share a rank.
+        Position in the order of service; 0 is served first. Classes with the same
+        first-token limit share a rank.
     engine_priority : int
         Priority sent to engines; 0 is served first.
     first_token_limit_s : float
-        Latest first token after arrival that still meets the targets, seconds.
+        Longest time from arrival to the first token that meets the targets,
+        seconds.
     queue_limit_s : float
         Longest time in the queue of an instance, seconds.
     gap_limit_ms : float
-        Gap between tokens up to which a batch may grow, milliseconds.
+        Gap between tokens beyond which a batch must not grow, milliseconds.
     reserved_share : float
-        Largest share of the slots of a backend server that is kept free of less
-        urgent classes for this one.
+        Largest share of the slots that may be reserved for this class against
+        less urgent ones.
     resume_limit_s : float
         Longest pause of a stream after the loss of its backend server, seconds.
     """
@@ -70,8 +71,8 @@
     resume_limit_s: float
 
 
-def compute_patience_ms(targets: ClassTargets) -> float:
-    """Return how long after its arrival a request may get its first token.
+def compute_first_token_limit_ms(targets: ClassTargets) -> float:
+    """Return the longest time from arrival to the first token of a class.
 
     Parameters
     ----------
@@ -96,22 +97,24 @@
     Returns
     -------
     dict of str to ClassPolicy
-        By name of class, the most urgent first.
+        By name of class, in order of urgency.
     """
     if not targets:
         return {}
-    patience = {name: compute_patience_ms(each) for name, each in targets.items()}
-    ranks = {value: rank for rank, value in enumerate(sorted(set(patience.values())))}
-    longest = max(patience.values())
-    urgent = sum(1 for value in patience.values() if value < longest)
-    ordered = sorted(targets, key=lambda name: (patience[name], name))
+    limits_ms = {
+        name: compute_first_token_limit_ms(each) for name, each in targets.items()
+    }
+    ranks = {value: rank for rank, value in enumerate(sorted(set(limits_ms.values())))}
+    longest_ms = max(limits_ms.values())
+    urgent_classes = sum(1 for value in limits_ms.values() if value < longest_ms)
+    ordered = sorted(targets, key=lambda name: (limits_ms[name], name))
     return {
         name: _derive_policy(
             name,
             targets[name],
-            rank=ranks[patience[name]],
-            urgency=1.0 - patience[name] / longest if longest else 0.0,
-            urgent_classes=urgent,
+            rank=ranks[limits_ms[name]],
+            urgency=1.0 - limits_ms[name] / longest_ms if longest_ms else 0.0,
+            urgent_classes=urgent_classes,
         )
         for name in ordered
     }
@@ -125,15 +128,17 @@
     urgency: float,
     urgent_classes: int,
 ) -> ClassPolicy:
-    queue_ms = targets.may_wait_ms + targets.first_token_ms * QUEUE_SHARE_OF_FIRST_TOKEN
-    reserved = MAX_RESERVED_SHARE * urgency / urgent_classes if urgent_classes else 0.0
+    queue_ms = targets.may_wait_ms + targets.first_token_ms * FIRST_TOKEN_QUEUE_SHARE
+    reserved = (
+        MAX_RESERVED_SLOTS_SHARE * urgency / urgent_classes if urgent_classes else 0.0
+    )
     return ClassPolicy(
         name=name,
         rank=rank,
         engine_priority=rank,
-        first_token_limit_s=compute_patience_ms(targets) / MS_PER_S,
+        first_token_limit_s=compute_first_token_limit_ms(targets) / MS_PER_S,
         queue_limit_s=queue_ms / MS_PER_S,
-        gap_limit_ms=targets.gap_ms * GAP_HEADROOM,
+        gap_limit_ms=targets.gap_ms * GAP_LIMIT_RATIO,
         reserved_share=reserved,
         resume_limit_s=targets.resume_ms / MS_PER_S,
     )
--- a/packages/decisions/src/ebonyhaven_decisions/_queueing.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_queueing.py
@@ -1,4 +1,4 @@
-"""Queues of an instance: fair between workspaces, or first in first out."""
+"""Queues of an instance: fair between workspaces, or first in, first out."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from ebonyhaven_decisions._work import WorkItem
 
 MAX_SAMPLED_WORKSPACES = 32
-YIELD_AHEAD_TOKENS = 256.0
-YIELD_AHEAD_SHARE = 0.15
-OVER_SHARE_SLACK = 1.1
+YIELD_MARGIN_TOKENS = 256.0
+YIELD_MARGIN_RATIO = 0.15
+OVER_SHARE_FACTOR = 1.1
 
 
-class LaneKey(NamedTuple):
-    """One queue: the requests of a class for a model."""
+class SubqueueKey(NamedTuple):
+    """Identifies the subqueue of a class and a model."""
 
     class_name: str
     model: str
@@ -32,11 +32,11 @@
 class _Queued:
     item: WorkItem
     cost: float
-    lane: LaneKey
+    key: SubqueueKey
 
 
 class WorkQueue(abc.ABC):
-    """Requests that wait at an instance, in order of service."""
+    """Requests that wait at an instance, in subqueues by class and model."""
 
     @abc.abstractmethod
     def __len__(self) -> int:
@@ -56,33 +56,38 @@
         """
 
     @abc.abstractmethod
-    def list_lanes(self) -> list[LaneKey]:
-        """Return the lanes with waiting requests, in order of service."""
+    def list_subqueues(self) -> list[SubqueueKey]:
+        """Return the subqueues with waiting requests, in order of service."""
 
     @abc.abstractmethod
-    def peek(self, lane: LaneKey) -> WorkItem | None:
-        """Return the next request of a lane, or None when it is empty."""
+    def peek(self, key: SubqueueKey) -> WorkItem | None:
+        """Return the next request of a subqueue, or None if it is empty."""
 
     @abc.abstractmethod
     def remove(self, item_id: str) -> WorkItem | None:
-        """Take a request out, or return None when it does not wait."""
+        """Remove and return a request, or return None if it is not queued."""
 
     @abc.abstractmethod
     def estimate_tokens_ahead(self, item: WorkItem, cost: float, now: float) -> float:
-        """Return the service that goes before a request, decode tokens.
+        """Return the service of the requests served before a new one.
 
         Parameters
         ----------
         item : WorkItem
-            A request that does not wait yet.
+            Request that is not queued.
         cost : float
             Its expected service, decode tokens.
         now : float
             Seconds.
+
+        Returns
+        -------
+        float
+            Decode tokens.
         """
 
     def replace_policies(self, policies: Mapping[str, ClassPolicy]) -> None:
-        """Take over the policies of a new configuration.
+        """Apply the policies of a new configuration.
 
         Parameters
         ----------
@@ -90,8 +95,8 @@
         """
         return
 
-    def read_backlog(self, item: WorkItem) -> float:
-        """Return the service that waits in the lane of a request for its workspace.
+    def read_workspace_backlog(self, item: WorkItem) -> float:
+        """Return the queued service of a workspace in the subqueue of a request.
 
         Parameters
         ----------
@@ -104,24 +109,36 @@
         """
         return 0.0
 
-    def must_yield(self, lane: LaneKey, now: float) -> bool:
-        """Return whether a workspace at another instance is entitled to go first.
+    def must_yield(self, key: SubqueueKey, now: float) -> bool:
+        """Return whether a workspace at another instance has to be served first.
 
         Parameters
         ----------
-        lane : LaneKey
+        key : SubqueueKey
         now : float
             Seconds.
         """
         return False
 
-    def sum_queued(self) -> dict[tuple[str, str], float]:
+    def sum_queued_tokens(self) -> dict[tuple[str, str], float]:
         """Return the queued service by class and workspace, decode tokens."""
         return {}
 
 
-class _Lane:
-    """Waiting requests of one class and model, by workspace."""
+class _Subqueue:
+    """Waiting requests of one class and model, by workspace.
+
+    Attributes
+    ----------
+    queues : dict of str to deque
+        Requests of each workspace in order of arrival.
+    costs : dict of str to float
+        Queued service of each workspace, decode tokens.
+    heap : list of tuple
+        Workspaces by consumption at the time of the push, which may be outdated.
+    rebases : int
+        Rebases of the ledger when the heap was built.
+    """
 
     __slots__ = ("costs", "heap", "queues", "rebases")
 
@@ -133,16 +150,16 @@
 
 
 class FairQueue(WorkQueue):
-    """Serves the workspace that consumed least, inside classes by urgency.
+    """Serves classes by urgency, and in each class the workspace that consumed least.
 
-    A class that consumed more than an equal share of the instance goes after the
-    other classes while those wait.
+    A class that consumed more than an equal share of the instance is served after
+    the other classes that have waiting requests.
 
     Parameters
     ----------
     policies : mapping of str to ClassPolicy
     ledger : UsageLedger
-        Consumption of the workspaces; it is only read here.
+        Consumption of the workspaces; the queue only reads it.
     """
 
     def __init__(
@@ -150,7 +167,7 @@
     ) -> None:
         self._policies = policies
         self._ledger = ledger
-        self._lanes: dict[LaneKey, _Lane] = {}
+        self._subqueues: dict[SubqueueKey, _Subqueue] = {}
         self._items: dict[str, _Queued] = {}
         self._sequence = itertools.count()
 
@@ -158,180 +175,185 @@
         return len(self._items)
 
     def replace_policies(self, policies: Mapping[str, ClassPolicy]) -> None:
-        """Take over the policies of a new configuration."""
+        """Apply the policies of a new configuration."""
         self._policies = policies
 
     def push(self, item: WorkItem, cost: float, now: float) -> None:
         """Add a request; see `WorkQueue.push`."""
-        key = LaneKey(item.class_name, item.model)
-        lane = self._lanes.setdefault(key, _Lane())
+        key = SubqueueKey(item.class_name, item.model)
+        subqueue = self._subqueues.setdefault(key, _Subqueue())
         queued = _Queued(item, cost, key)
         self._items[item.item_id] = queued
-        queue = lane.queues.get(item.workspace)
+        queue = subqueue.queues.get(item.workspace)
         if queue is None:
-            queue = lane.queues[item.workspace] = deque()
-            self._push_heap(lane, key, item.workspace)
+            queue = subqueue.queues[item.workspace] = deque()
+            self._push_heap(subqueue, key, item.workspace)
         queue.append(queued)
-        lane.costs[item.workspace] = lane.costs.get(item.workspace, 0.0) + cost
-
-    def list_lanes(self) -> list[LaneKey]:
-        """Return the lanes in order of service; see `WorkQueue.list_lanes`."""
-        for key in [key for key, lane in self._lanes.items() if not lane.queues]:
-            del self._lanes[key]
+        subqueue.costs[item.workspace] = subqueue.costs.get(item.workspace, 0.0) + cost
+
+    def list_subqueues(self) -> list[SubqueueKey]:
+        """Return the subqueues in order of service; see `WorkQueue.list_subqueues`."""
+        for key in [
+            key for key, subqueue in self._subqueues.items() if not subqueue.queues
+        ]:
+            del self._subqueues[key]
         over = self._find_classes_over_share()
         return sorted(
-            self._lanes,
+            self._subqueues,
             key=lambda key: (key.class_name in over, self._read_rank(key), key.model),
         )
 
-    def peek(self, lane: LaneKey) -> WorkItem | None:
-        """Return the next request of a lane; see `WorkQueue.peek`."""
-        state = self._lanes.get(lane)
-        if state is None:
+    def peek(self, key: SubqueueKey) -> WorkItem | None:
+        """Return the next request of a subqueue; see `WorkQueue.peek`."""
+        subqueue = self._subqueues.get(key)
+        if subqueue is None:
             return None
-        workspace = self._find_least_served(state, lane)
-        return state.queues[workspace][0].item if workspace is not None else None
+        workspace = self._find_least_served(subqueue, key)
+        return subqueue.queues[workspace][0].item if workspace is not None else None
 
     def remove(self, item_id: str) -> WorkItem | None:
-        """Take a request out; see `WorkQueue.remove`."""
+        """Remove a request; see `WorkQueue.remove`."""
         queued = self._items.pop(item_id, None)
         if queued is None:
             return None
-        lane = self._lanes[queued.lane]
+        subqueue = self._subqueues[queued.key]
         workspace = queued.item.workspace
-        queue = lane.queues[workspace]
+        queue = subqueue.queues[workspace]
         if queue[0] is queued:
             queue.popleft()
         else:
             queue.remove(queued)
-        lane.costs[workspace] -= queued.cost
+        subqueue.costs[workspace] -= queued.cost
         if not queue:
-            del lane.queues[workspace]
-            del lane.costs[workspace]
+            del subqueue.queues[workspace]
+            del subqueue.costs[workspace]
         return queued.item
 
     def estimate_tokens_ahead(self, item: WorkItem, cost: float, now: float) -> float:
-        """Return the service before a request; see `WorkQueue`.
+        """Estimate the service before a request; see `WorkQueue`.
 
-        Another workspace is served first for as long as its consumption stays
-        under that of the request's workspace after its own backlog. Beyond
-        `MAX_SAMPLED_WORKSPACES` the sum is scaled up from a part of them.
+        Another workspace is served first while its consumption is below the one
+        that the workspace of the request reaches with its backlog and the request.
+        With more than `MAX_SAMPLED_WORKSPACES` workspaces, the sum is extrapolated
+        from a sample.
         """
-        lane = self._lanes.get(LaneKey(item.class_name, item.model))
-        if lane is None:
+        subqueue = self._subqueues.get(SubqueueKey(item.class_name, item.model))
+        if subqueue is None:
             return 0.0
-        own = lane.costs.get(item.workspace, 0.0)
+        backlog = subqueue.costs.get(item.workspace, 0.0)
         scale = self._ledger.scale_to_epoch(1.0, now)
         key = (item.class_name, item.workspace)
-        finish = self._ledger.read(key) / scale + own + cost
-        step = -(-len(lane.queues) // MAX_SAMPLED_WORKSPACES) or 1
-        sampled = list(itertools.islice(lane.queues, None, None, step))
+        final_usage = self._ledger.read(key) / scale + backlog + cost
+        step = -(-len(subqueue.queues) // MAX_SAMPLED_WORKSPACES) or 1
+        sampled = list(itertools.islice(subqueue.queues, None, None, step))
         ahead = 0.0
         for name in sampled:
             if name == item.workspace:
                 continue
             usage = self._ledger.read((item.class_name, name)) / scale
-            ahead += min(max(finish - usage, 0.0), lane.costs[name])
-        return own + (ahead * len(lane.queues) / len(sampled) if sampled else 0.0)
-
-    def read_backlog(self, item: WorkItem) -> float:
-        """Return the backlog of a workspace; see `WorkQueue.read_backlog`."""
-        lane = self._lanes.get(LaneKey(item.class_name, item.model))
-        return lane.costs.get(item.workspace, 0.0) if lane else 0.0
-
-    def must_yield(self, lane: LaneKey, now: float) -> bool:
-        """Return whether another instance goes first; see `WorkQueue`."""
-        state = self._lanes.get(lane)
-        if state is None:
+            ahead += min(max(final_usage - usage, 0.0), subqueue.costs[name])
+        return backlog + (
+            ahead * len(subqueue.queues) / len(sampled) if sampled else 0.0
+        )
+
+    def read_workspace_backlog(self, item: WorkItem) -> float:
+        """Return the backlog; see `WorkQueue.read_workspace_backlog`."""
+        subqueue = self._subqueues.get(SubqueueKey(item.class_name, item.model))
+        return subqueue.costs.get(item.workspace, 0.0) if subqueue else 0.0
+
+    def must_yield(self, key: SubqueueKey, now: float) -> bool:
+        """Return whether another instance is served first; see `WorkQueue`."""
+        subqueue = self._subqueues.get(key)
+        if subqueue is None:
             return False
-        workspace = self._find_least_served(state, lane)
+        workspace = self._find_least_served(subqueue, key)
         if workspace is None:
             return False
-        allowed = self._ledger.scale_to_epoch(YIELD_AHEAD_TOKENS, now)
-        usage = self._ledger.read((lane.class_name, workspace))
-        least = self._ledger.find_min_remote_usage(lane.class_name)
-        return least * (1.0 + YIELD_AHEAD_SHARE) + allowed < usage
+        allowed = self._ledger.scale_to_epoch(YIELD_MARGIN_TOKENS, now)
+        usage = self._ledger.read((key.class_name, workspace))
+        least = self._ledger.find_min_remote_usage(key.class_name)
+        return least * (1.0 + YIELD_MARGIN_RATIO) + allowed < usage
 
-    def sum_queued(self) -> dict[tuple[str, str], float]:
+    def sum_queued_tokens(self) -> dict[tuple[str, str], float]:
         """Return the queued service by class and workspace, decode tokens."""
         queued: dict[tuple[str, str], float] = {}
-        for key, lane in self._lanes.items():
-            for workspace, cost in lane.costs.items():
+        for key, subqueue in self._subqueues.items():
+            for workspace, cost in subqueue.costs.items():
                 name = (key.class_name, workspace)
                 queued[name] = queued.get(name, 0.0) + cost
         return queued
 
-    def _find_least_served(self, lane: _Lane, key: LaneKey) -> str | None:
-        if lane.rebases != self._ledger.rebases or len(lane.heap) > 4 * (
-            len(lane.queues) + 16
+    def _find_least_served(self, subqueue: _Subqueue, key: SubqueueKey) -> str | None:
+        if subqueue.rebases != self._ledger.rebases or len(subqueue.heap) > 4 * (
+            len(subqueue.queues) + 16
         ):
-            self._rebuild_heap(lane, key)
-        while lane.heap:
-            usage, _, workspace = lane.heap[0]
-            if workspace not in lane.queues:
-                heapq.heappop(lane.heap)
+            self._rebuild_heap(subqueue, key)
+        while subqueue.heap:
+            usage, _, workspace = subqueue.heap[0]
+            if workspace not in subqueue.queues:
+                heapq.heappop(subqueue.heap)
                 continue
-            present = self._ledger.read((key.class_name, workspace))
-            if present <= usage:
+            current = self._ledger.read((key.class_name, workspace))
+            if current <= usage:
                 return workspace
-            entry = (present, next(self._sequence), workspace)
-            heapq.heapreplace(lane.heap, entry)
+            entry = (current, next(self._sequence), workspace)
+            heapq.heapreplace(subqueue.heap, entry)
         return None
 
-    def _push_heap(self, lane: _Lane, key: LaneKey, workspace: str) -> None:
+    def _push_heap(self, subqueue: _Subqueue, key: SubqueueKey, workspace: str) -> None:
         usage = self._ledger.read((key.class_name, workspace))
-        heapq.heappush(lane.heap, (usage, next(self._sequence), workspace))
+        heapq.heappush(subqueue.heap, (usage, next(self._sequence), workspace))
 
-    def _rebuild_heap(self, lane: _Lane, key: LaneKey) -> None:
-        lane.rebases = self._ledger.rebases
-        lane.heap = []
-        for workspace in lane.queues:
-            self._push_heap(lane, key, workspace)
+    def _rebuild_heap(self, subqueue: _Subqueue, key: SubqueueKey) -> None:
+        subqueue.rebases = self._ledger.rebases
+        subqueue.heap = []
+        for workspace in subqueue.queues:
+            self._push_heap(subqueue, key, workspace)
 
-    def _read_rank(self, key: LaneKey) -> int:
+    def _read_rank(self, key: SubqueueKey) -> int:
         policy = self._policies.get(key.class_name)
         return policy.rank if policy else len(self._policies)
 
     def _find_classes_over_share(self) -> set[str]:
-        waiting = {key.class_name for key in self._lanes}
+        waiting = {key.class_name for key in self._subqueues}
         if len(waiting) <= 1:
             return set()
         usage = {name: self._ledger.read_class_usage(name) for name in waiting}
-        share = OVER_SHARE_SLACK * sum(usage.values()) / len(waiting)
+        share = OVER_SHARE_FACTOR * sum(usage.values()) / len(waiting)
         return {name for name, value in usage.items() if value > share > 0.0}
 
 
 class FifoQueue(WorkQueue):
-    """Serves requests in order of arrival, whatever their class and workspace."""
+    """Serves requests in order of arrival, regardless of class and workspace."""
 
     def __init__(self) -> None:
-        self._lanes: dict[LaneKey, dict[str, _Queued]] = {}
-        self._keys: dict[str, LaneKey] = {}
+        self._subqueues: dict[SubqueueKey, dict[str, _Queued]] = {}
+        self._keys: dict[str, SubqueueKey] = {}
 
     def __len__(self) -> int:
         return len(self._keys)
 
     def push(self, item: WorkItem, cost: float, now: float) -> None:
         """Add a request; see `WorkQueue.push`."""
-        key = LaneKey("", item.model)
-        self._lanes.setdefault(key, {})[item.item_id] = _Queued(item, cost, key)
+        key = SubqueueKey("", item.model)
+        self._subqueues.setdefault(key, {})[item.item_id] = _Queued(item, cost, key)
         self._keys[item.item_id] = key
 
-    def list_lanes(self) -> list[LaneKey]:
-        """Return the lanes with waiting requests; see `WorkQueue.list_lanes`."""
-        return [key for key, lane in self._lanes.items() if lane]
+    def list_subqueues(self) -> list[SubqueueKey]:
+        """Return the subqueues with requests; see `WorkQueue.list_subqueues`."""
+        return [key for key, subqueue in self._subqueues.items() if subqueue]
 
-    def peek(self, lane: LaneKey) -> WorkItem | None:
-        """Return the oldest request of a lane; see `WorkQueue.peek`."""
-        queued = next(iter(self._lanes.get(lane, {}).values()), None)
+    def peek(self, key: SubqueueKey) -> WorkItem | None:
+        """Return the oldest request of a subqueue; see `WorkQueue.peek`."""
+        queued = next(iter(self._subqueues.get(key, {}).values()), None)
         return queued.item if queued else None
 
     def remove(self, item_id: str) -> WorkItem | None:
-        """Take a request out; see `WorkQueue.remove`."""
+        """Remove a request; see `WorkQueue.remove`."""
         key = self._keys.pop(item_id, None)
-        return self._lanes[key].pop(item_id).item if key is not None else None
+        return self._subqueues[key].pop(item_id).item if key is not None else None
 
     def estimate_tokens_ahead(self, item: WorkItem, cost: float, now: float) -> float:
-        """Return the service before a request; see `WorkQueue`."""
-        lane = self._lanes.get(LaneKey("", item.model), {})
-        return sum(queued.cost for queued in lane.values())
+        """Return the service of all requests for a model; see `WorkQueue`."""
+        subqueue = self._subqueues.get(SubqueueKey("", item.model), {})
+        return sum(queued.cost for queued in subqueue.values())
--- a/packages/decisions/src/ebonyhaven_decisions/_reservations.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_reservations.py
@@ -1,4 +1,4 @@
-"""Room that is kept free of less urgent classes."""
+"""Servers and slots that are reserved for urgent classes."""
 
 from __future__ import annotations
 
@@ -7,60 +7,60 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from ebonyhaven_decisions._flights import FlightTable
+from ebonyhaven_decisions._in_flight import InFlightTable
 from ebonyhaven_decisions._policies import ClassPolicy
 from ebonyhaven_decisions._server_table import ServerTable
 from ebonyhaven_decisions._servers import ServerState
 
-DEMAND_SPREAD = 2.0
-MIN_DEMAND = 0.05
-QUIET_FILL = 0.65
-MIN_SERVERS_TO_SET_APART = 8
-MIN_RESERVED_SHARE = 1e-6
-CACHE_S = 0.25
+DEMAND_MARGIN_DEVIATIONS = 2.0
+MIN_DEMAND_REQUESTS = 0.05
+DEDICATED_FILL_SHARE = 0.65
+MIN_SERVERS_TO_DEDICATE = 8
+MIN_RESERVED_SLOTS_SHARE = 1e-6  # rounded up to one slot of each server
+RESERVATION_CACHE_S = 0.25
 
 
 class Reservation(NamedTuple):
-    """What is kept for the classes that are more urgent than a rank.
+    """Capacity reserved for the classes that are more urgent than a rank.
 
     Parameters
     ----------
     servers : tuple of ServerState
-        Servers that take no less urgent work.
-    names : frozenset of str
+        Dedicated servers, which less urgent classes avoid.
+    server_names : frozenset of str
         Names of `servers`.
-    share : float
-        Share of the slots of each other server that is kept free.
+    slots_share : float
+        Share of the slots of each other server that is reserved.
     """
 
     servers: tuple[ServerState, ...] = ()
-    names: frozenset[str] = frozenset()
-    share: float = 0.0
+    server_names: frozenset[str] = frozenset()
+    slots_share: float = 0.0
 
 
-NOTHING = Reservation()
+NO_RESERVATION = Reservation()
 
 
 class Reservations:
-    """Sizes the reservations by the recent demand of the urgent classes.
+    """Computes reservations from the recent demand of the urgent classes.
 
-    Where there are enough servers, whole ones are set apart: a small batch steps
-    faster than a full one with a few places left. All instances set apart the same
-    servers, from the front of a common order. Where there are few servers, a share
-    of the slots of each is kept.
+    A model with at least `MIN_SERVERS_TO_DEDICATE` servers gets dedicated servers,
+    because a small batch steps faster than an almost full one. All instances
+    dedicate the same servers, the first ones in a common order. With fewer servers,
+    a share of the slots of each one is reserved.
 
     Parameters
     ----------
     table : ServerTable
-    flights : FlightTable
+    in_flight_requests : InFlightTable
     """
 
-    __slots__ = ("_cached", "_flights", "_table")
+    __slots__ = ("_cache", "_in_flight", "_table")
 
-    def __init__(self, table: ServerTable, flights: FlightTable) -> None:
+    def __init__(self, table: ServerTable, in_flight_requests: InFlightTable) -> None:
         self._table = table
-        self._flights = flights
-        self._cached: dict[tuple[str, int], tuple[float, Reservation]] = {}
+        self._in_flight = in_flight_requests
+        self._cache: dict[tuple[str, int], tuple[float, Reservation]] = {}
 
     def read(
         self,
@@ -71,7 +71,7 @@
         instances: int,
         now: float,
     ) -> Reservation:
-        """Return what classes of a smaller rank have reserved.
+        """Return the reservation of the classes with a smaller rank.
 
         Parameters
         ----------
@@ -79,7 +79,8 @@
         model : str
         rank : int
         instances : int
-            Instances that share the servers, with a like demand each.
+            Number of instances that share the servers; each is assumed to have the
+            demand of this one.
         now : float
             Seconds.
 
@@ -88,44 +89,51 @@
         Reservation
         """
         if rank <= 0:
-            return NOTHING
-        counted_at, reservation = self._cached.get((model, rank), (-math.inf, NOTHING))
-        if now - counted_at < CACHE_S:
+            return NO_RESERVATION
+        computed_at, reservation = self._cache.get(
+            (model, rank), (-math.inf, NO_RESERVATION)
+        )
+        if now - computed_at < RESERVATION_CACHE_S:
             return reservation
-        urgent = [policy for policy in policies.values() if policy.rank < rank]
-        reservation = self._compute(urgent, model, instances, now)
-        self._cached[model, rank] = (now, reservation)
+        urgent_policies = [policy for policy in policies.values() if policy.rank < rank]
+        reservation = self._compute(urgent_policies, model, instances, now)
+        self._cache[model, rank] = (now, reservation)
         return reservation
 
     def _compute(
-        self, urgent: list[ClassPolicy], model: str, instances: int, now: float
+        self, urgent_policies: list[ClassPolicy], model: str, instances: int, now: float
     ) -> Reservation:
         listed = self._table.list_ordered(model)
         if not listed:
-            return NOTHING
+            return NO_RESERVATION
         slots = len(listed) * listed[0].capacity
         share = sum(
-            self._compute_share(policy, slots, instances, now) for policy in urgent
+            self._compute_share(policy, slots, instances, now)
+            for policy in urgent_policies
+        )
+        if len(listed) < MIN_SERVERS_TO_DEDICATE:
+            return Reservation(slots_share=max(share, MIN_RESERVED_SLOTS_SHARE))
+        max_servers = math.floor(
+            len(listed) * sum(each.reserved_share for each in urgent_policies)
+        )
+        server_count = min(
+            math.ceil(len(listed) * share / DEDICATED_FILL_SHARE), max_servers
         )
-        if len(listed) < MIN_SERVERS_TO_SET_APART:
-            return Reservation(share=max(share, MIN_RESERVED_SHARE))
-        most = math.floor(len(listed) * sum(each.reserved_share for each in urgent))
-        wanted = min(math.ceil(len(listed) * share / QUIET_FILL), most)
-        usable = (
+        available = (
             server
             for server in listed
             if not server.is_leaving and not server.is_suspect(now)
         )
-        servers = tuple(itertools.islice(usable, wanted))
+        servers = tuple(itertools.islice(available, server_count))
         return Reservation(
-            servers=servers, names=frozenset(server.name for server in servers)
+            servers=servers, server_names=frozenset(server.name for server in servers)
         )
 
     def _compute_share(
         self, policy: ClassPolicy, slots: float, instances: int, now: float
     ) -> float:
-        demand = self._flights.read_demand(policy.name, now) * instances
-        if demand < MIN_DEMAND:
+        demand = self._in_flight.read_demand(policy.name, now) * instances
+        if demand < MIN_DEMAND_REQUESTS:
             return 0.0
-        needed = (demand + DEMAND_SPREAD * demand**0.5) / slots
-        return min(needed, policy.reserved_share)
+        needed_share = (demand + DEMAND_MARGIN_DEVIATIONS * demand**0.5) / slots
+        return min(needed_share, policy.reserved_share)
--- a/packages/decisions/src/ebonyhaven_decisions/_routing.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_routing.py
@@ -13,7 +13,7 @@
 
 from ebonyhaven_decisions._server_table import ServerTable
 from ebonyhaven_decisions._servers import ServerState
-from ebonyhaven_decisions._work import Choice, WorkItem
+from ebonyhaven_decisions._work import ServerChoice, WorkItem
 
 SAMPLED_CANDIDATES = 3
 MAX_CACHED_CANDIDATES = 2
@@ -114,7 +114,7 @@
         allowance: SlotAllowance,
         excluded: Set[str],
         now: float,
-    ) -> Choice | None:
+    ) -> ServerChoice | None:
         """Choose a server, or return None when no server has a free slot.
 
         Parameters
@@ -155,14 +155,14 @@
         allowance: SlotAllowance,
         excluded: Set[str],
         now: float,
-    ) -> Choice | None:
+    ) -> ServerChoice | None:
         """Choose the next server in turn; see `Router.choose`."""
         servers = table.list_for(item.model)
         for _ in servers:
             self._next = (self._next + 1) % len(servers)
             server = servers[self._next]
             if server.is_usable(now) and server.name not in excluded:
-                return Choice(server=server)
+                return ServerChoice(server=server)
         return None
 
 
@@ -186,7 +186,7 @@
         allowance: SlotAllowance,
         excluded: Set[str],
         now: float,
-    ) -> Choice | None:
+    ) -> ServerChoice | None:
         """Choose the server with the fewest requests; see `Router.choose`."""
         usable = [
             server
@@ -197,7 +197,7 @@
             return None
         least = min(server.local_in_flight for server in usable)
         tied = [server for server in usable if server.local_in_flight == least]
-        return Choice(server=self._random.choice(tied))
+        return ServerChoice(server=self._random.choice(tied))
 
 
 class PrefixMap:
@@ -272,7 +272,7 @@
         allowance: SlotAllowance,
         excluded: Set[str],
         now: float,
-    ) -> Choice | None:
+    ) -> ServerChoice | None:
         """Choose the candidate with the lowest score; see `Router.choose`."""
         query = _Query(item, table, allowance, excluded, now)
         cached = self._prefixes.find_cached(item, now)
@@ -373,8 +373,8 @@
             candidates[name] = server
 
 
-def _predict(item: WorkItem, server: ServerState, cached_tokens: int) -> Choice:
-    return Choice(
+def _predict(item: WorkItem, server: ServerState, cached_tokens: int) -> ServerChoice:
+    return ServerChoice(
         server=server,
         cached_tokens=cached_tokens,
         predicted_first_token_s=server.predict_first_token_s(
--- a/packages/decisions/src/ebonyhaven_decisions/_scheduler.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_scheduler.py
@@ -1,4 +1,4 @@
-"""Admission, queueing and dispatch of one instance behind one interface."""
+"""Scheduler of an instance: admission, queueing and dispatch."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ebonyhaven_decisions._admission import (
-    MAX_QUEUED,
+    MAX_QUEUED_REQUESTS,
     Admission,
     Forecast,
     ServiceRate,
@@ -18,7 +18,7 @@
 from ebonyhaven_decisions._dispatching import Dispatcher
 from ebonyhaven_decisions._limits import RetryBudget
 from ebonyhaven_decisions._policies import ClassPolicy
-from ebonyhaven_decisions._queueing import LaneKey, WorkQueue
+from ebonyhaven_decisions._queueing import SubqueueKey, WorkQueue
 from ebonyhaven_decisions._servers import DEFAULT_PREFILL_TOKENS_PER_S
 from ebonyhaven_decisions._usage import UsageEntry
 from ebonyhaven_decisions._work import (
@@ -29,44 +29,44 @@
     compute_cost,
 )
 
-MAX_RECHECKED = 256
-RETRY_LANE_S = 0.1
-NO_SERVER_RETRY_S = 1.0
-MIN_FLIGHTS_FOR_RATE = 4
-FRESH_EXCLUDED: frozenset[str] = frozenset()
+MAX_RECHECKED_REQUESTS = 256
+BLOCKED_SUBQUEUE_RETRY_S = 0.1
+NO_SERVER_RETRY_AFTER_S = 1.0
+MIN_REQUESTS_FOR_RATE = 4
+NO_EXCLUDED_SERVERS: frozenset[str] = frozenset()
 
 
-class Decisions(NamedTuple):
-    """What the node has to do now.
+class SchedulingDecisions(NamedTuple):
+    """Requests that the node has to send or answer now.
 
     Parameters
     ----------
     dispatches : list of Dispatch
-        Requests to send; they are counted as running already.
+        Requests to send; they are already counted as in flight.
     refusals : list of Refusal
-        Requests to answer as not run.
+        Requests to answer with the outcome `not_run`.
     """
 
     dispatches: list[Dispatch]
     refusals: list[Refusal]
 
 
-class _Block(NamedTuple):
-    changes: int
-    since: float
+class _BlockedState(NamedTuple):
+    change_count: int
+    blocked_at: float
 
 
 class Scheduler:
     """Decides when and where the requests of an instance run.
 
-    The caller runs `next_dispatches` after each call that may free or fill a
-    server, and at the time given by `read_next_timeout`.
+    The node calls `collect_decisions` after each call that may change the load of a
+    server, and at the time that `read_next_timeout` returns.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        Servers and running requests; its ``record_*`` methods are called
-        directly.
+        Servers and requests in flight; the node calls its ``record_*``
+        methods directly.
     queue : WorkQueue
     admission : Admission
     random_source : random.Random
@@ -87,29 +87,29 @@
         self._random = random_source
         self._timeouts: list[tuple[float, str]] = []
         self._queued: dict[str, WorkItem] = {}
-        self._fresh: dict[str, WorkItem] = {}
+        self._unchecked: dict[str, WorkItem] = {}
         self._excluded: dict[str, Set[str]] = {}
-        self._blocked: dict[LaneKey, _Block] = {}
-        self._checked_losses = 0
+        self._blocked: dict[SubqueueKey, _BlockedState] = {}
+        self._checked_failures = 0
         self._must_recheck = False
 
     def __len__(self) -> int:
         return len(self._queue)
 
     def replace_policies(self, policies: Mapping[str, ClassPolicy]) -> None:
-        """Take over the policies of a new configuration.
+        """Apply the policies of a new configuration.
 
         Parameters
         ----------
         policies : mapping of str to ClassPolicy
         """
         self.dispatcher.policies = policies
-        self.dispatcher.changes += 1
+        self.dispatcher.change_count += 1
         self._queue.replace_policies(policies)
         self._must_recheck = True
 
     def submit(self, item: WorkItem, now: float) -> Refusal | None:
-        """Queue a request; `next_dispatches` decides about it.
+        """Queue a new request, which `collect_decisions` dispatches or refuses.
 
         Parameters
         ----------
@@ -120,18 +120,19 @@
         Returns
         -------
         Refusal or None
+            A refusal if the class is unknown or the queue is full.
         """
         policy = self.dispatcher.policies.get(item.class_name)
         if policy is None:
             return self._admission.refuse(item, RefusalReason.UNKNOWN_CLASS, 0.0)
-        if len(self._queue) >= MAX_QUEUED:
+        if len(self._queue) >= MAX_QUEUED_REQUESTS:
             return self._admission.refuse(item, RefusalReason.QUEUE_FULL, 0.0)
-        self.retry_budget.record_attempt(item.class_name, item.workspace)
+        self.retry_budget.record_first_attempt(item.class_name, item.workspace)
         self._enqueue(item, policy, now)
         return None
 
     def requeue(self, item: WorkItem, excluded: Set[str], now: float) -> Refusal | None:
-        """Queue a request again that is known not to have run.
+        """Queue a retry of a request that is known not to have run.
 
         Parameters
         ----------
@@ -144,21 +145,21 @@
         Returns
         -------
         Refusal or None
-            A refusal when the retry budget is spent.
+            A refusal if the class is unknown or the retry budget is spent.
         """
         policy = self.dispatcher.policies.get(item.class_name)
         if policy is None:
             return self._admission.refuse(item, RefusalReason.UNKNOWN_CLASS, 0.0)
         if not self.retry_budget.take_retry(item.class_name, item.workspace):
             return self._admission.refuse(
-                item, RefusalReason.RETRY_BUDGET, NO_SERVER_RETRY_S
+                item, RefusalReason.RETRY_BUDGET, NO_SERVER_RETRY_AFTER_S
             )
         self._excluded[item.item_id] = excluded
         self._enqueue(item, policy, now)
         return None
 
     def cancel(self, item_id: str, now: float) -> None:
-        """Forget a request whose caller left, waiting or running.
+        """Drop a queued or in-flight request that its caller cancelled.
 
         Parameters
         ----------
@@ -167,10 +168,10 @@
             Seconds.
         """
         self._dequeue(item_id)
-        self.dispatcher.record_end(item_id, now, is_whole=False)
+        self.dispatcher.record_end(item_id, now, is_complete=False)
 
-    def next_dispatches(self, now: float) -> Decisions:
-        """Return the requests to send and those to give up.
+    def collect_decisions(self, now: float) -> SchedulingDecisions:
+        """Return the requests to send and those to refuse.
 
         Parameters
         ----------
@@ -179,30 +180,30 @@
 
         Returns
         -------
-        Decisions
+        SchedulingDecisions
         """
-        refusals = self._collect_expired(now)
+        refusals = self._refuse_expired(now)
         dispatches: list[Dispatch] = []
-        for lane in self._queue.list_lanes():
-            self._drain_lane(lane, dispatches, now)
-        refusals.extend(self._collect_hopeless(now))
-        return Decisions(dispatches, refusals)
+        for key in self._queue.list_subqueues():
+            self._dispatch_subqueue(key, dispatches, now)
+        refusals.extend(self._refuse_late(now))
+        return SchedulingDecisions(dispatches, refusals)
 
     def read_next_timeout(self) -> float:
-        """Return when a waiting request expires, seconds; infinite for none."""
+        """Return when the next queued request expires, seconds; infinite if none."""
         while self._timeouts and self._timeouts[0][1] not in self._queued:
             heapq.heappop(self._timeouts)
         return self._timeouts[0][0] if self._timeouts else math.inf
 
     def build_usage_digest(self, now: float) -> list[UsageEntry]:
-        """Return the digest of consumption for the other instances."""
-        queued = self._queue.sum_queued()
+        """Return the usage digest for the other instances."""
+        queued = self._queue.sum_queued_tokens()
         return self.dispatcher.ledger.build_digest(queued, now, self._random)
 
     def merge_usage_digest(
         self, peer: str, entries: Sequence[UsageEntry], now: float
     ) -> None:
-        """Take over the digest of consumption of another instance."""
+        """Apply the usage digest of another instance."""
         self.dispatcher.ledger.merge_digest(peer, entries, now)
 
     def _enqueue(self, item: WorkItem, policy: ClassPolicy, now: float) -> None:
@@ -210,44 +211,46 @@
         expires_at = min(item.arrival + limit_s, item.deadline)
         heapq.heappush(self._timeouts, (expires_at, item.item_id))
         self._queued[item.item_id] = item
-        self._fresh[item.item_id] = item
+        self._unchecked[item.item_id] = item
         self._queue.push(item, self._estimate_cost(item), now)
 
     def _dequeue(self, item_id: str) -> None:
         if self._queued.pop(item_id, None) is None:
             return
         self._queue.remove(item_id)
-        self._fresh.pop(item_id, None)
+        self._unchecked.pop(item_id, None)
         self._excluded.pop(item_id, None)
 
-    def _drain_lane(
-        self, lane: LaneKey, dispatches: list[Dispatch], now: float
+    def _dispatch_subqueue(
+        self, key: SubqueueKey, dispatches: list[Dispatch], now: float
     ) -> None:
-        if self._is_blocked(lane, now):
+        if self._is_blocked(key, now):
             return
-        while (item := self._queue.peek(lane)) is not None:
-            yields = self._queue.must_yield(lane, now)
-            excluded = self._excluded.get(item.item_id, FRESH_EXCLUDED)
+        while (item := self._queue.peek(key)) is not None:
+            must_yield = self._queue.must_yield(key, now)
+            excluded = self._excluded.get(item.item_id, NO_EXCLUDED_SERVERS)
             choice = self.dispatcher.choose(
-                item, excluded=excluded, yields=yields, now=now
+                item, excluded=excluded, must_yield=must_yield, now=now
             )
             if choice is None:
-                if not excluded and not yields:
-                    self._blocked[lane] = _Block(self.dispatcher.changes, now)
+                if not excluded and not must_yield:
+                    self._blocked[key] = _BlockedState(
+                        self.dispatcher.change_count, now
+                    )
                 return
             self._dequeue(item.item_id)
             dispatches.append(self.dispatcher.dispatch(item, choice, now))
 
-    def _is_blocked(self, lane: LaneKey, now: float) -> bool:
-        block = self._blocked.pop(lane, None)
-        if block is None or block.changes != self.dispatcher.changes:
+    def _is_blocked(self, key: SubqueueKey, now: float) -> bool:
+        state = self._blocked.pop(key, None)
+        if state is None or state.change_count != self.dispatcher.change_count:
             return False
-        if now - block.since >= RETRY_LANE_S:
+        if now - state.blocked_at >= BLOCKED_SUBQUEUE_RETRY_S:
             return False
-        self._blocked[lane] = block
+        self._blocked[key] = state
         return True
 
-    def _collect_expired(self, now: float) -> list[Refusal]:
+    def _refuse_expired(self, now: float) -> list[Refusal]:
         refusals = []
         while self.read_next_timeout() <= now:
             _, item_id = heapq.heappop(self._timeouts)
@@ -259,18 +262,20 @@
             )
         return refusals
 
-    def _collect_hopeless(self, now: float) -> list[Refusal]:
-        """Refuse what cannot meet its targets any more.
+    def _refuse_late(self, now: float) -> list[Refusal]:
+        """Refuse queued requests that can no longer meet their targets.
 
-        New requests are checked once; all are checked again after a loss.
+        Each new request is checked once. After a server failure or a change of the
+        policies, the latest `MAX_RECHECKED_REQUESTS` queued requests are checked
+        again.
         """
-        losses = self.dispatcher.losses
-        candidates = list(self._fresh.values())
-        if self._must_recheck or losses != self._checked_losses:
-            candidates = list(self._queued.values())[-MAX_RECHECKED:]
+        server_failures = self.dispatcher.server_failures
+        candidates = list(self._unchecked.values())
+        if self._must_recheck or server_failures != self._checked_failures:
+            candidates = list(self._queued.values())[-MAX_RECHECKED_REQUESTS:]
         self._must_recheck = False
-        self._checked_losses = losses
-        self._fresh.clear()
+        self._checked_failures = server_failures
+        self._unchecked.clear()
         checked = [self._check(item, now) for item in candidates]
         return [refusal for refusal in checked if refusal is not None]
 
@@ -290,10 +295,12 @@
     def _check_without_server(
         self, item: WorkItem, policy: ClassPolicy
     ) -> Refusal | None:
-        if self._admission.compute_queue_limit_s(policy) > NO_SERVER_RETRY_S:
+        if self._admission.compute_queue_limit_s(policy) > NO_SERVER_RETRY_AFTER_S:
             return None
         self._dequeue(item.item_id)
-        return self._admission.refuse(item, RefusalReason.NO_SERVER, NO_SERVER_RETRY_S)
+        return self._admission.refuse(
+            item, RefusalReason.NO_SERVER, NO_SERVER_RETRY_AFTER_S
+        )
 
     def _has_servers(self, item: WorkItem, now: float) -> bool:
         servers = self.dispatcher.table.list_for(item.model)
@@ -301,51 +308,59 @@
 
     def _forecast(self, item: WorkItem, now: float) -> Forecast:
         cost = self._estimate_cost(item)
-        ahead = self._queue.estimate_tokens_ahead(item, cost, now)
+        tokens_ahead = self._queue.estimate_tokens_ahead(item, cost, now)
         if item.item_id in self._queued:
-            ahead = max(ahead - cost, 0.0)
-        flights = self.dispatcher.flights
+            tokens_ahead = max(tokens_ahead - cost, 0.0)
+        in_flight_requests = self.dispatcher.in_flight_requests
         policy = self.dispatcher.policies.get(item.class_name)
-        names = self.dispatcher.list_not_more_urgent(policy) if policy else []
-        mean_cost = flights.read_mean_cost(item.class_name) or cost
-        ends_per_s = flights.sum_ends_per_s(names)
-        if len(flights) < MIN_FLIGHTS_FOR_RATE:
-            ends_per_s = max(
-                ends_per_s,
-                self.dispatcher.estimate_share_ends_per_s(item.model, mean_cost, now),
+        names = self.dispatcher.list_classes_not_more_urgent(policy) if policy else []
+        mean_cost = in_flight_requests.read_mean_cost(item.class_name) or cost
+        completions_per_s = in_flight_requests.estimate_completions_per_s(names)
+        if len(in_flight_requests) < MIN_REQUESTS_FOR_RATE:
+            completions_per_s = max(
+                completions_per_s,
+                self.dispatcher.estimate_share_completions_per_s(
+                    item.model, mean_cost, now
+                ),
             )
-        ahead = max(ahead, self._estimate_own_ahead(item, cost, ends_per_s, now))
+        tokens_ahead = max(
+            tokens_ahead,
+            self._estimate_workspace_tokens_ahead(item, cost, completions_per_s, now),
+        )
         rate = ServiceRate(
-            ends_per_s=ends_per_s,
+            completions_per_s=completions_per_s,
             mean_cost=mean_cost,
-            pace_ms=flights.pace_ms,
+            pace_ms=in_flight_requests.pace_ms,
             prefill_tokens_per_s=DEFAULT_PREFILL_TOKENS_PER_S,
         )
         return forecast_service(
             item,
-            tokens_ahead=ahead,
-            output_tokens=flights.estimate_output(item),
+            tokens_ahead=tokens_ahead,
+            output_tokens=in_flight_requests.estimate_output_tokens(item),
             rate=rate,
         )
 
-    def _estimate_own_ahead(
-        self, item: WorkItem, cost: float, ends_per_s: float, now: float
+    def _estimate_workspace_tokens_ahead(
+        self, item: WorkItem, cost: float, completions_per_s: float, now: float
     ) -> float:
-        """Return the service ahead at the speed of the workspace alone.
+        """Return the tokens ahead that give the wait at the rate of the workspace.
 
-        Those who were served less go first, now and when they arrive later, so
-        one that was not is served at its own present speed.
+        Workspaces that were served less come first, including those whose requests
+        arrive later. The backlog of a workspace that is not underserved is therefore
+        served at the rate at which its requests complete now.
         """
         if self.dispatcher.is_underserved(item, now):
             return 0.0
-        own_ends_per_s = self.dispatcher.flights.estimate_workspace_ends_per_s(
-            item.class_name, item.workspace
+        workspace_completions_per_s = (
+            self.dispatcher.in_flight_requests.estimate_workspace_completions_per_s(
+                item.class_name, item.workspace
+            )
         )
-        if own_ends_per_s <= 0.0:
+        if workspace_completions_per_s <= 0.0:
             return 0.0
-        backlog = max(self._queue.read_backlog(item) - cost, 0.0)
-        return backlog * ends_per_s / own_ends_per_s
+        backlog = max(self._queue.read_workspace_backlog(item) - cost, 0.0)
+        return backlog * completions_per_s / workspace_completions_per_s
 
     def _estimate_cost(self, item: WorkItem) -> float:
-        output = self.dispatcher.flights.estimate_output(item)
+        output = self.dispatcher.in_flight_requests.estimate_output_tokens(item)
         return compute_cost(item.prompt_tokens, output)
--- a/packages/decisions/src/ebonyhaven_decisions/_work.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_work.py
@@ -1,4 +1,4 @@
-"""Requests as the scheduler sees them, and its decisions about them."""
+"""Requests as the scheduler sees them, and the decisions about them."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 from ebonyhaven_decisions._servers import ServerState
 
-PREFILL_TOKEN_COST = 0.1
+PREFILL_TOKEN_COST_RATIO = 0.1
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class WorkItem:
-    """One request that waits for a backend server.
+    """One request that is scheduled on a backend server.
 
     Parameters
     ----------
     item_id : str
-        Run identifier.
+        Identifier of the request, unique within the instance.
     workspace : str
     class_name : str
     model : str
-        Model, or ``service/NAME`` for a plain service.
+        Model name, or ``service/NAME`` for a plain service.
     prompt_tokens : int
     max_tokens : int
-        Longest output that the caller asks for.
+        Maximum length of the output that the caller asks for.
     prefix_digests : tuple of str
-        Digests of ever longer prefixes of the prompt.
+        Digests of prefixes of the prompt, in order of increasing length.
     prefix_tokens : tuple of int
-        Tokens that each of `prefix_digests` covers.
+        Length in tokens of each prefix in `prefix_digests`.
     arrival : float
-        Seconds.
+        Time of arrival, seconds.
     deadline : float
-        Latest end that is of use to the caller, seconds.
+        Time after which the caller has no use for the answer, seconds.
     """
 
     item_id: str
@@ -50,16 +50,16 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class Choice:
-    """A backend server chosen for a request.
+class ServerChoice:
+    """Backend server chosen for a request.
 
     Parameters
     ----------
     server : ServerState
     cached_tokens : int
-        Tokens of the prompt that its cache is thought to hold.
+        Tokens of the prompt that the server is expected to have in its cache.
     predicted_first_token_s : float
-        Seconds from the dispatch.
+        Predicted time from the dispatch to the first token, seconds.
     """
 
     server: ServerState
@@ -69,23 +69,23 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class Dispatch:
-    """Order to send a request to a backend server now.
+    """Decision to send a request to a backend server now.
 
     Parameters
     ----------
     item : WorkItem
-    choice : Choice
+    choice : ServerChoice
     engine_priority : int
-        0 is served first.
+        Priority in the queue of the engine; 0 is served first.
     """
 
     item: WorkItem
-    choice: Choice
+    choice: ServerChoice
     engine_priority: int = 0
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request that did not run was given up."""
+    """Why a request that did not run was refused."""
 
     UNKNOWN_CLASS = "unknown class"
     LATE_FIRST_TOKEN = "the first token would miss the target of the class"
@@ -105,7 +105,7 @@
     item : WorkItem
     reason : RefusalReason
     retry_after_s : float
-        Seconds after which another try may be admitted.
+        Delay after which a retry may be admitted, seconds.
     """
 
     item: WorkItem
@@ -124,4 +124,4 @@
     -------
     float
     """
-    return decode_tokens + PREFILL_TOKEN_COST * prefill_tokens
+    return decode_tokens + PREFILL_TOKEN_COST_RATIO * prefill_tokens
--- a/packages/node/src/ebonyhaven_node/_policy_scheduling.py
+++ b/packages/node/src/ebonyhaven_node/_policy_scheduling.py
@@ -205,7 +205,7 @@
         dispatcher = self.scheduler.dispatcher
         now = self._clock()
         if slot.item_id:
-            dispatcher.record_end(slot.item_id, now, is_whole=slot.is_whole)
+            dispatcher.record_end(slot.item_id, now, is_complete=slot.is_whole)
         elif (state := dispatcher.table.get(slot.server.name)) is not None:
             state.record_end(now)
         self.pump()
@@ -230,7 +230,7 @@
     def _carry_out(self) -> None:
         now = self._clock()
         self._try_resumes(now)
-        decisions = self.scheduler.next_dispatches(now)
+        decisions = self.scheduler.collect_decisions(now)
         for dispatch in decisions.dispatches:
             self._grant(self._waiters.pop(dispatch.item.item_id, None), dispatch)
         for refusal in decisions.refusals:
--- a/packages/node/src/ebonyhaven_node/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/_sharing.py
@@ -111,7 +111,7 @@
             dispatcher.read_gap_limit_ms(),
             time.monotonic(),
         )
-        dispatcher.changes += 1
+        dispatcher.change_count += 1
         self._on_news()
 
 
--- a/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
@@ -90,7 +90,7 @@
     for index, item in enumerate(items):
         now = index * 0.05
         scheduler.submit(item, now)
-        for dispatch in scheduler.next_dispatches(now).dispatches:
+        for dispatch in scheduler.collect_decisions(now).dispatches:
             scheduler.dispatcher.record_end(dispatch.item.item_id, now)
     return _per_decision_us(started)
 
@@ -102,7 +102,9 @@
     for index, item in enumerate(items):
         now = index * 0.05
         started = time.process_time()
-        choice = dispatcher.choose(item, excluded=frozenset(), yields=False, now=now)
+        choice = dispatcher.choose(
+            item, excluded=frozenset(), must_yield=False, now=now
+        )
         spent += time.process_time() - started
         dispatcher.dispatch(item, choice, now)
         dispatcher.record_end(item.item_id, now)
@@ -113,7 +115,7 @@
     scheduler = _build(servers, running=16)
     for index in range(WAITING_A_WORKSPACE * workspaces):
         scheduler.submit(_build_item(index, workspaces), 0.0)
-        scheduler.next_dispatches(0.0)
+        scheduler.collect_decisions(0.0)
     items = [
         _build_item(10_000_000 + index, workspaces)
         for index in range(DECISIONS_A_ROUND)
@@ -121,7 +123,7 @@
     started = time.process_time()
     for item in items:
         scheduler.submit(item, 0.1)
-        scheduler.next_dispatches(0.1)
+        scheduler.collect_decisions(0.1)
     return _per_decision_us(started)
 
 
--- a/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
@@ -111,7 +111,7 @@
         arrival=now,
     )
     scheduler.submit(item, now)
-    for dispatch in scheduler.next_dispatches(now).dispatches:
+    for dispatch in scheduler.collect_decisions(now).dispatches:
         scheduler.dispatcher.record_first_token(dispatch.item.item_id, now + 0.1)
         scheduler.dispatcher.record_end(dispatch.item.item_id, now + 0.2)
 
--- a/tests/decisions/scheduling.py
+++ b/tests/decisions/scheduling.py
@@ -24,7 +24,7 @@
 }
 POLICIES = derive_policies(TARGETS)
 MODEL = "dossier"
-HERE = Locality("dc-a", "r1")
+LOCAL_PLACE = Locality("dc-a", "r1")
 
 
 def build_entries(count, *, prefix="s", data_centre="dc-a"):
@@ -56,23 +56,23 @@
     scheduler = build_scheduler(
         Scheduling.FAIR,
         policies or POLICIES,
-        place=HERE,
+        place=LOCAL_PLACE,
         random_source=random.Random(seed),
         now=0.0,
     )
     scheduler.dispatcher.table.replace(build_entries(servers))
-    report_idle(scheduler, capacity, now=0.0)
+    report_own_load(scheduler, capacity, now=0.0)
     return scheduler
 
 
-def report_idle(scheduler, capacity, *, now):
+def report_own_load(scheduler, capacity, *, now):
     for state in scheduler.dispatcher.table:
         running = state.local_in_flight
         report = ServerReport(running, 0, now, capacity=capacity, pace_ms=30.0)
         scheduler.dispatcher.record_report(state.name, report)
 
 
-def finish(scheduler, dispatch, now):
+def complete_request(scheduler, dispatch, now):
     dispatcher = scheduler.dispatcher
     dispatcher.record_first_token(dispatch.item.item_id, now)
     dispatcher.record_tokens(dispatch.item.item_id, dispatch.item.max_tokens, now)
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 
-def test_limit_settles_where_the_pace_meets_the_target():
+def test_limit_converges_to_the_batch_size_that_meets_the_target():
     limit = ConcurrencyLimit()
     limit.record_capacity(32)
     for _ in range(100):
@@ -16,7 +16,7 @@
     assert 17 <= limit.slots <= 22
 
 
-def test_limit_stays_while_the_batch_is_hardly_used():
+def test_limit_is_unchanged_while_the_batch_is_not_busy():
     limit = ConcurrencyLimit()
     limit.record_capacity(16)
     limit.record_pace(running=2, pace_ms=10.0, gap_limit_ms=60.0, capacity=16)
@@ -35,17 +35,17 @@
 
 
 @given(st.lists(st.booleans(), min_size=200, max_size=400))
-def test_retries_stay_under_a_tenth_of_the_requests(events):
+def test_retries_are_limited_to_a_tenth_of_the_first_attempts(events):
     budget = RetryBudget()
     for is_retry in events:
         if is_retry:
             budget.take_retry("look-up", "studio-a")
         else:
-            budget.record_attempt("look-up", "studio-a")
+            budget.record_first_attempt("look-up", "studio-a")
     assert budget.retries <= 0.1 * budget.attempts + 1.0 + 1e-6
 
 
-def test_workspaces_have_budgets_of_their_own():
+def test_workspaces_have_separate_retry_budgets():
     budget = RetryBudget()
     while budget.take_retry("look-up", "studio-a"):
         pass
--- a/tests/decisions/test_policies.py
+++ b/tests/decisions/test_policies.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_tighter_target_is_served_first():
+def test_class_with_tighter_target_is_served_first():
     assert POLICIES["look-up"].rank < POLICIES["analysis"].rank
     assert POLICIES["look-up"].engine_priority == 0
     assert POLICIES["look-up"].reserved_share > 0.0
@@ -30,7 +30,7 @@
 
 
 @given(st.dictionaries(st.text(min_size=1, max_size=3), targets, max_size=6))
-def test_policies_follow_patience(classes):
+def test_policies_are_ordered_by_first_token_limit(classes):
     policies = derive_policies(classes)
     assert policies.keys() == classes.keys()
     limits = [policy.first_token_limit_s for policy in policies.values()]
--- a/tests/decisions/test_queueing.py
+++ b/tests/decisions/test_queueing.py
@@ -17,18 +17,18 @@
 
 
 def serve_next(queue, ledger, now, cost=100.0):
-    lane = queue.list_lanes()[0]
-    item = queue.peek(lane)
+    key = queue.list_subqueues()[0]
+    item = queue.peek(key)
     queue.remove(item.item_id)
     ledger.charge((item.class_name, item.workspace), cost, now)
     return item
 
 
-def compute_jain(values):
+def compute_jain_index(values):
     return sum(values) ** 2 / (len(values) * sum(value**2 for value in values))
 
 
-def test_backlogged_workspaces_get_equal_service_whatever_they_send():
+def test_backlogged_workspaces_get_equal_service_for_any_request_size():
     queue, ledger = build_queue()
     sizes = {"a": 10.0, "b": 100.0, "c": 40.0}
     for workspace, count in (("a", 2000), ("b", 200), ("c", 500)):
@@ -37,13 +37,13 @@
             queue.push(item, sizes[workspace], 0.0)
     served = dict.fromkeys(sizes, 0.0)
     for step in range(300):
-        item = queue.peek(queue.list_lanes()[0])
+        item = queue.peek(queue.list_subqueues()[0])
         served[item.workspace] += sizes[item.workspace]
         serve_next(queue, ledger, step * 0.01, sizes[item.workspace])
-    assert compute_jain(list(served.values())) >= 0.98
+    assert compute_jain_index(list(served.values())) >= 0.98
 
 
-def test_idle_share_is_used_and_given_back():
+def test_idle_share_is_used_until_its_workspace_submits():
     queue, ledger = build_queue()
     for index in range(50):
         queue.push(build_item(f"a{index}", workspace="a"), 100.0, 0.0)
@@ -53,7 +53,7 @@
     assert serve_next(queue, ledger, 2.0).workspace == "b"
 
 
-def test_idle_workspace_saves_up_no_service():
+def test_idle_workspace_accumulates_no_credit():
     queue, ledger = build_queue()
     ledger.charge(ANALYSIS_A, 10000.0, 0.0)
     later = 300.0
@@ -64,29 +64,29 @@
     assert names.count("a") == 5
 
 
-def test_urgent_class_goes_first_until_it_used_more_than_its_share():
+def test_urgent_class_is_served_first_up_to_its_share():
     queue, ledger = build_queue()
     for index in range(20):
         queue.push(build_item(f"a{index}"), 100.0, 0.0)
         queue.push(build_item(f"l{index}", class_name="look-up"), 100.0, 0.0)
-    assert queue.list_lanes()[0].class_name == "look-up"
+    assert queue.list_subqueues()[0].class_name == "look-up"
     ledger.charge(("look-up", "studio-a"), 1000.0, 0.0)
-    assert queue.list_lanes()[0].class_name == "analysis"
+    assert queue.list_subqueues()[0].class_name == "analysis"
 
 
-def test_order_survives_a_change_of_epoch():
+def test_order_is_preserved_by_a_rebase():
     queue, ledger = build_queue()
     for index in range(4):
         queue.push(build_item(f"a{index}", workspace="a"), 100.0, 0.0)
         queue.push(build_item(f"b{index}", workspace="b"), 100.0, 0.0)
     ledger.charge(ANALYSIS_A, 50.0, 700.0)
-    assert queue.peek(queue.list_lanes()[0]).workspace == "b"
+    assert queue.peek(queue.list_subqueues()[0]).workspace == "b"
     ledger.charge(("analysis", "b"), 100.0, 900.0)
     assert ledger.rebases == 1
-    assert queue.peek(queue.list_lanes()[0]).workspace == "a"
+    assert queue.peek(queue.list_subqueues()[0]).workspace == "a"
 
 
-def test_consumption_elsewhere_counts():
+def test_consumption_at_other_instances_counts():
     queue, ledger = build_queue()
     other = UsageLedger(50.0)
     other.charge(ANALYSIS_A, 1000.0, 100.0)
@@ -96,21 +96,21 @@
     assert serve_next(queue, ledger, 101.0).workspace == "b"
 
 
-def test_instance_yields_to_a_less_served_workspace_elsewhere():
+def test_instance_yields_to_a_less_served_workspace_of_a_peer():
     queue, ledger = build_queue()
     ledger.charge(ANALYSIS_A, 2000.0, 0.0)
     queue.push(build_item("a", workspace="a"), 100.0, 0.0)
-    lane = queue.list_lanes()[0]
-    assert not queue.must_yield(lane, 0.0)
+    key = queue.list_subqueues()[0]
+    assert not queue.must_yield(key, 0.0)
     other = UsageLedger(0.0)
     digest = other.build_digest({("analysis", "b"): 500.0}, 0.0, random.Random(1))
     ledger.merge_digest("n2", digest, 0.0)
-    assert queue.must_yield(lane, 0.0)
+    assert queue.must_yield(key, 0.0)
     ledger.drop_silent_peers(30.0)
-    assert not queue.must_yield(lane, 30.0)
+    assert not queue.must_yield(key, 30.0)
 
 
-def test_digest_is_bounded_and_tells_waiting_workspaces_first():
+def test_digest_is_bounded_and_lists_backlogged_workspaces_first():
     ledger = UsageLedger(0.0)
     for index in range(920):
         ledger.charge(("analysis", f"w{index}"), 100.0 + index, 0.0)
@@ -119,7 +119,7 @@
     assert digest[0].workspace == "w3"
 
 
-def test_sampled_peers_stand_for_all_instances():
+def test_usage_of_sampled_peers_is_scaled_to_all_instances():
     ledger = UsageLedger(0.0)
     ledger.instances = 391
     for peer in range(100):
@@ -156,17 +156,17 @@
             assert queue.remove(item.item_id) is item
             assert queue.remove(item.item_id) is None
         assert len(queue) == len(waiting)
-    assert sum(queue.sum_queued().values()) >= 10.0 * len(waiting) - 1e-6
+    assert sum(queue.sum_queued_tokens().values()) >= 10.0 * len(waiting) - 1e-6
     while waiting:
         waiting.remove(serve_next(queue, ledger, len(events)))
-    assert queue.list_lanes() == []
+    assert queue.list_subqueues() == []
 
 
-def test_fifo_serves_by_arrival():
+def test_fifo_serves_in_order_of_arrival():
     queue = FifoQueue()
     for index in range(5):
         queue.push(build_item(index, workspace=f"w{index % 2}"), 1.0, index)
-    lane = queue.list_lanes()[0]
+    key = queue.list_subqueues()[0]
     queue.remove("0")
-    assert queue.peek(lane).item_id == "1"
+    assert queue.peek(key).item_id == "1"
     assert queue.estimate_tokens_ahead(build_item(9), 1.0, 9.0) == 4.0
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -15,31 +15,31 @@
 from hypothesis import strategies as st
 
 from tests.decisions.scheduling import (
-    HERE,
+    LOCAL_PLACE,
     POLICIES,
     TARGETS,
     build_entries,
     build_fair_scheduler,
     build_item,
-    finish,
-    report_idle,
+    complete_request,
+    report_own_load,
 )
 
-ONE_CLASS = derive_policies({"analysis": TARGETS["analysis"]})
+ANALYSIS_POLICIES = derive_policies({"analysis": TARGETS["analysis"]})
 
 
-def fill(scheduler, count, now=0.0, **options):
+def submit_many(scheduler, count, now=0.0, **options):
     for index in range(count):
         item = build_item(f"fill{index}", arrival=now, **options)
         assert scheduler.submit(item, now) is None
-    return scheduler.next_dispatches(now)
+    return scheduler.collect_decisions(now)
 
 
 def test_request_is_dispatched_with_the_priority_of_its_class():
     scheduler = build_fair_scheduler()
     scheduler.submit(build_item("a"), 0.0)
     scheduler.submit(build_item("l", class_name="look-up"), 0.0)
-    dispatches = scheduler.next_dispatches(0.0).dispatches
+    dispatches = scheduler.collect_decisions(0.0).dispatches
     assert [(each.item.item_id, each.engine_priority) for each in dispatches] == [
         ("l", 1),
         ("a", 3),
@@ -51,85 +51,85 @@
     assert refusal.reason is RefusalReason.UNKNOWN_CLASS
 
 
-def test_full_servers_queue_analyses_and_keep_room_for_look_ups():
+def test_full_servers_queue_analyses_and_reserve_slots_for_look_ups():
     scheduler = build_fair_scheduler(servers=2, capacity=8)
-    decisions = fill(scheduler, 20)
+    decisions = submit_many(scheduler, 20)
     assert 0 < len(decisions.dispatches) <= 2 * (8 - 2)
     assert len(scheduler) + len(decisions.dispatches) == 20
     scheduler.submit(build_item("l", class_name="look-up"), 0.0)
-    assert len(scheduler.next_dispatches(0.0).dispatches) == 1
+    assert len(scheduler.collect_decisions(0.0).dispatches) == 1
 
 
 def test_freed_slot_goes_to_the_next_waiting_request():
     scheduler = build_fair_scheduler()
-    first = fill(scheduler, 20).dispatches
-    finish(scheduler, first[0], 1.0)
-    assert len(scheduler.next_dispatches(1.0).dispatches) == 1
+    first = submit_many(scheduler, 20).dispatches
+    complete_request(scheduler, first[0], 1.0)
+    assert len(scheduler.collect_decisions(1.0).dispatches) == 1
 
 
-def test_request_that_cannot_be_in_time_is_refused_at_once():
+def test_request_that_would_be_late_is_refused_immediately():
     scheduler = build_fair_scheduler(servers=1, capacity=4)
-    fill(scheduler, 10, class_name="look-up", max_tokens=1000)
+    submit_many(scheduler, 10, class_name="look-up", max_tokens=1000)
     item = build_item("late", class_name="look-up", max_tokens=1000)
     scheduler.submit(item, 0.0)
-    refusals = scheduler.next_dispatches(0.0).refusals
+    refusals = scheduler.collect_decisions(0.0).refusals
     assert [each.item.item_id for each in refusals] == ["late"]
     assert refusals[0].reason is RefusalReason.LATE_FIRST_TOKEN
     assert refusals[0].retry_after_s > 0.0
 
 
-def test_last_slots_go_to_a_workspace_that_was_served_less():
-    scheduler = build_fair_scheduler(servers=2, capacity=4, policies=ONE_CLASS)
-    assert len(fill(scheduler, 20, workspace="large").dispatches) == 2 * 3
+def test_spare_slots_are_given_to_an_underserved_workspace():
+    scheduler = build_fair_scheduler(servers=2, capacity=4, policies=ANALYSIS_POLICIES)
+    assert len(submit_many(scheduler, 20, workspace="large").dispatches) == 2 * 3
     scheduler.submit(build_item("small", workspace="small", arrival=1.0), 1.0)
-    dispatched = scheduler.next_dispatches(1.0).dispatches
+    dispatched = scheduler.collect_decisions(1.0).dispatches
     assert [each.item.workspace for each in dispatched] == ["small"]
 
 
-def test_large_backlog_does_not_refuse_a_small_workspace():
+def test_backlog_of_a_large_workspace_does_not_refuse_a_small_one():
     scheduler = build_fair_scheduler(servers=2, capacity=8)
-    fill(scheduler, 400, workspace="large", max_tokens=400)
+    submit_many(scheduler, 400, workspace="large", max_tokens=400)
     scheduler.submit(build_item("small", workspace="small", max_tokens=400), 0.0)
-    assert scheduler.next_dispatches(0.0).refusals == []
+    assert scheduler.collect_decisions(0.0).refusals == []
     late = build_item("large", workspace="large", max_tokens=400)
     scheduler.submit(late, 0.0)
-    assert [each.item for each in scheduler.next_dispatches(0.0).refusals] == [late]
+    assert [each.item for each in scheduler.collect_decisions(0.0).refusals] == [late]
 
 
-def test_waiting_request_is_given_up_at_its_queue_limit_and_not_later():
+def test_waiting_request_is_refused_at_its_queue_limit():
     scheduler = build_fair_scheduler(servers=2, capacity=8)
-    fill(scheduler, 40, max_tokens=1000)
+    submit_many(scheduler, 40, max_tokens=1000)
     limit = POLICIES["analysis"].queue_limit_s
     assert scheduler.read_next_timeout() == limit
-    assert scheduler.next_dispatches(limit - 0.1).refusals == []
-    refused = scheduler.next_dispatches(limit).refusals
+    assert scheduler.collect_decisions(limit - 0.1).refusals == []
+    refused = scheduler.collect_decisions(limit).refusals
     assert {each.reason for each in refused} == {RefusalReason.QUEUE_TIMEOUT}
     assert len(scheduler) == 0
     assert scheduler.read_next_timeout() == math.inf
 
 
-def test_tighter_target_takes_effect_on_waiting_requests():
+def test_tighter_target_applies_to_waiting_requests():
     scheduler = build_fair_scheduler(servers=1, capacity=4)
-    fill(scheduler, 30, max_tokens=200)
+    submit_many(scheduler, 30, max_tokens=200)
     waiting = len(scheduler)
     assert waiting > 10
     tight = TARGETS["analysis"]._replace(first_token_ms=600, may_wait_ms=0)
     scheduler.replace_policies(derive_policies(TARGETS | {"analysis": tight}))
-    refusals = scheduler.next_dispatches(0.1).refusals
+    refusals = scheduler.collect_decisions(0.1).refusals
     assert len(refusals) == waiting - len(scheduler) > 0
 
 
-def test_lost_server_is_avoided_and_the_request_goes_elsewhere():
+def test_retry_avoids_the_lost_server():
     scheduler = build_fair_scheduler()
-    dispatch = fill(scheduler, 1).dispatches[0]
+    dispatch = submit_many(scheduler, 1).dispatches[0]
     lost = dispatch.choice.server.name
     scheduler.dispatcher.record_failure("fill0", FailureKind.LOST, 1.0)
     assert scheduler.requeue(dispatch.item, frozenset({lost}), 1.0) is None
-    again = scheduler.next_dispatches(1.0).dispatches[0]
+    again = scheduler.collect_decisions(1.0).dispatches[0]
     assert again.choice.server.name != lost
 
 
-def test_retry_storm_is_refused():
+def test_retries_beyond_the_budget_are_refused():
     scheduler = build_fair_scheduler()
     item = build_item("x")
     outcomes = [scheduler.requeue(item, frozenset(), 0.0) for _ in range(5)]
@@ -137,9 +137,9 @@
     assert outcomes[-1].reason is RefusalReason.RETRY_BUDGET
 
 
-def test_resume_uses_room_that_new_work_may_not():
+def test_resumed_stream_uses_slots_reserved_from_new_requests():
     scheduler = build_fair_scheduler(servers=2, capacity=4)
-    running = fill(scheduler, 20).dispatches
+    running = submit_many(scheduler, 20).dispatches
     dispatch = running[0]
     lost = dispatch.choice.server.name
     scheduler.dispatcher.record_failure(dispatch.item.item_id, FailureKind.LOST, 1.0)
@@ -149,40 +149,44 @@
     assert scheduler.dispatcher.route_resume(dispatch.item, everywhere, 1.0) is None
 
 
-def test_cancel_frees_waiting_and_running_requests():
+def test_cancel_releases_waiting_and_running_requests():
     scheduler = build_fair_scheduler(servers=1, capacity=4)
-    running = fill(scheduler, 10).dispatches
+    running = submit_many(scheduler, 10).dispatches
     for index in range(10):
         scheduler.cancel(f"fill{index}", 1.0)
     assert len(scheduler) == 0
-    assert len(scheduler.dispatcher.flights) == 0
+    assert len(scheduler.dispatcher.in_flight_requests) == 0
     assert running[0].choice.server.local_in_flight == 0
     assert running[0].choice.server.local_prefill_tokens == 0
 
 
-def test_new_instance_before_full_servers_lets_requests_wait():
+def test_request_waits_while_all_servers_are_full():
     scheduler = build_fair_scheduler(servers=2, capacity=4)
     for state in scheduler.dispatcher.table:
         state.record_full(0.0)
-    decisions = fill(scheduler, 1)
+    decisions = submit_many(scheduler, 1)
     assert decisions.dispatches == decisions.refusals == []
 
 
-def test_without_servers_only_patient_classes_wait():
+def test_only_classes_with_a_long_queue_limit_wait_without_servers():
     scheduler = build_fair_scheduler(servers=0)
-    assert fill(scheduler, 1).refusals == []
+    assert submit_many(scheduler, 1).refusals == []
     scheduler.submit(build_item("l", class_name="look-up"), 0.0)
-    refusal = scheduler.next_dispatches(0.0).refusals[0]
+    refusal = scheduler.collect_decisions(0.0).refusals[0]
     assert refusal.reason is RefusalReason.NO_SERVER
 
 
-def test_baselines_send_at_once_in_order_of_arrival():
+def test_baselines_dispatch_immediately_in_order_of_arrival():
     for scheduling in (Scheduling.ROUND_ROBIN, Scheduling.LEAST_CONNECTIONS):
         scheduler = build_scheduler(
-            scheduling, POLICIES, place=HERE, random_source=random.Random(1), now=0.0
+            scheduling,
+            POLICIES,
+            place=LOCAL_PLACE,
+            random_source=random.Random(1),
+            now=0.0,
         )
         scheduler.dispatcher.table.replace(build_entries(2))
-        dispatches = fill(scheduler, 100).dispatches
+        dispatches = submit_many(scheduler, 100).dispatches
         assert [each.item.item_id for each in dispatches] == [
             f"fill{index}" for index in range(100)
         ]
@@ -201,7 +205,7 @@
     ),
     st.integers(0, 3),
 )
-def test_each_request_has_one_end_and_no_slot_leaks(events, seed):
+def test_each_request_ends_once_and_releases_its_slot(events, seed):
     scheduler = build_fair_scheduler(servers=3, capacity=4, seed=seed)
     dispatcher = scheduler.dispatcher
     now, open_items, running = 0.0, {}, {}
@@ -214,17 +218,17 @@
         if kind == "submit" and scheduler.submit(item, now) is None:
             open_items[item.item_id] = item
         elif kind == "report":
-            report_idle(scheduler, 4, now=now)
+            report_own_load(scheduler, 4, now=now)
         elif running and kind in ("finish", "lose", "cancel"):
             dispatch = running.pop(sorted(running)[value % len(running)])
             del open_items[dispatch.item.item_id]
             if kind == "finish":
-                finish(scheduler, dispatch, now)
+                complete_request(scheduler, dispatch, now)
             elif kind == "cancel":
                 scheduler.cancel(dispatch.item.item_id, now)
             else:
                 dispatcher.record_failure(dispatch.item.item_id, FailureKind.LOST, now)
-        decisions = scheduler.next_dispatches(now)
+        decisions = scheduler.collect_decisions(now)
         for dispatch in decisions.dispatches:
             assert dispatch.item.item_id not in running
             running[dispatch.item.item_id] = dispatch
@@ -232,12 +236,12 @@
             assert refusal.item.item_id not in running
             assert refusal.retry_after_s > 0.0
             del open_items[refusal.item.item_id]
-        assert len(open_items) == len(scheduler) + len(dispatcher.flights)
+        assert len(open_items) == len(scheduler) + len(dispatcher.in_flight_requests)
         assert sum(state.local_in_flight for state in dispatcher.table) == len(running)
         assert all(state.local_in_flight <= 4 for state in dispatcher.table)
 
 
-def test_class_targets_read_from_a_declaration():
+def test_class_targets_accept_the_fields_of_a_declaration():
     assert ClassTargets(**{"first_token_ms": 1, "gap_ms": 2, "resume_ms": 3}) == (
         1,
         2,
--- a/tests/node/test_policy_scheduling.py
+++ b/tests/node/test_policy_scheduling.py
@@ -122,7 +122,7 @@
     slot.release()
     slot.release()
     assert known.find("s0").in_flight == 0
-    assert len(scheduling.scheduler.dispatcher.flights) == 0
+    assert len(scheduling.scheduler.dispatcher.in_flight_requests) == 0
 
 
 def test_waiting_request_gets_the_slot_that_is_released():
