--- a/packages/decisions/src/ebonyhaven_decisions/__init__.py
+++ b/packages/decisions/src/ebonyhaven_decisions/__init__.py
@@ -42,9 +42,6 @@
     parse_entry,
     propose_entry,
 )
-from ebonyhaven_decisions._contacts import (
-    Contacts,
-)
 from ebonyhaven_decisions._crashes import (
     EVIDENCE_TTL_S,
     EVIDENCE_WAIT_S,
@@ -68,8 +65,11 @@
     diff,
 )
 from ebonyhaven_decisions._detection import (
-    Detector,
-    Findings,
+    DetectionResult,
+    FailureDetector,
+)
+from ebonyhaven_decisions._discovery import (
+    Discovery,
 )
 from ebonyhaven_decisions._dispatching import (
     Dispatcher,
@@ -109,11 +109,11 @@
     RetryBudget,
 )
 from ebonyhaven_decisions._listing import Listing
-from ebonyhaven_decisions._listing_duty import (
+from ebonyhaven_decisions._listing_schedule import (
     READ_INTERVAL_S,
-    ListingDuty,
-    everybody_reads,
-    list_readers,
+    ListingReadSchedule,
+    all_instances_read,
+    choose_readers,
 )
 from ebonyhaven_decisions._load_digests import (
     LoadEntry,
@@ -175,7 +175,7 @@
     WorkQueue,
 )
 from ebonyhaven_decisions._rings import (
-    NEIGHBOURS,
+    NEIGHBOUR_COUNT,
     Rings,
 )
 from ebonyhaven_decisions._routing import (
@@ -230,7 +230,7 @@
     "ConcurrencyLimit",
     "ConfigurationEntry",
     "ConfigurationView",
-    "Contacts",
+    "Discovery",
     "CrashEvidence",
     "CrashLedger",
     "CrashVerdict",
@@ -240,7 +240,7 @@
     "DeclarationChange",
     "DeclarationError",
     "DeclarationProblem",
-    "Detector",
+    "FailureDetector",
     "Dispatch",
     "Dispatcher",
     "EVIDENCE_TTL_S",
@@ -252,7 +252,7 @@
     "FailureKind",
     "FairQueue",
     "FifoQueue",
-    "Findings",
+    "DetectionResult",
     "GossipEntry",
     "GossipTable",
     "HISTORY_PREFIX",
@@ -265,7 +265,7 @@
     "LeaseView",
     "LeastConnectionsRouter",
     "Listing",
-    "ListingDuty",
+    "ListingReadSchedule",
     "LoadAwareRouter",
     "LoadEntry",
     "LoadReport",
@@ -278,7 +278,7 @@
     "MembershipCounts",
     "MembershipMessage",
     "Model",
-    "NEIGHBOURS",
+    "NEIGHBOUR_COUNT",
     "Order",
     "OrderKind",
     "OrderTarget",
@@ -334,14 +334,14 @@
     "diff",
     "draft_release",
     "draft_row",
-    "everybody_reads",
+    "all_instances_read",
     "exceptions",
     "has_free_slot",
     "is_order_applied",
     "is_held",
     "judge_claim",
     "list_orders",
-    "list_readers",
+    "choose_readers",
     "may_dispatch",
     "may_order",
     "merge_load_digest",
--- a/packages/decisions/src/ebonyhaven_decisions/_detection.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_detection.py
@@ -1,203 +1,213 @@
-"""Silence of watched instances: when to ask others and when to suspect."""
+"""Failure detection: which watched instances are silent or to be suspected."""
 
 from __future__ import annotations
 
 import dataclasses
 from collections.abc import Iterable
 
-SILENCE_S = 1.0
-CONFIRMATION_S = 0.6
-FRESH_S = 0.6
+SILENCE_TIMEOUT_S = 1.0
+CONFIRMATION_TIMEOUT_S = 0.6
+RECENTLY_HEARD_S = 0.6
 
 
 @dataclasses.dataclass(slots=True)
-class _Watch:
+class _WatchedInstance:
     heard_at: float
-    direct_at: float
-    asked_at: float | None = None
+    heard_directly_at: float
+    queried_at: float | None = None
     expected: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Findings:
-    """What a check of the watched instances found.
+class DetectionResult:
+    """Result of a check of the watched instances.
 
     Parameters
     ----------
     silent : tuple of str
-        Instances that fell silent; they are to be probed and asked about.
+        Instances whose silence timeout expired; probe them and query their other
+        watchers.
     unconfirmed : tuple of str
-        Instances of which neither a probe nor the others gave a sign of life.
+        Silent instances that neither answered the probe nor were confirmed alive by
+        another instance in time.
     """
 
     silent: tuple[str, ...]
     unconfirmed: tuple[str, ...]
 
 
-class Detector:
-    """Tracks when each watched instance was last heard.
+class FailureDetector:
+    """Tracks when each watched instance was last known to be alive.
 
     Parameters
     ----------
-    silence_s : float
-        Seconds without a heartbeat after which others are asked.
-    confirmation_s : float
-        Seconds that the answers may take.
+    silence_timeout_s : float
+        Seconds without a sign of life after which an instance counts as silent.
+    confirmation_timeout_s : float
+        Seconds that a probe or query may take to confirm that it is alive.
     """
 
-    __slots__ = ("_confirmation_s", "_heard_any_at", "_silence_s", "_watches")
+    __slots__ = (
+        "_confirmation_timeout_s",
+        "_last_message_at",
+        "_silence_timeout_s",
+        "_watched",
+    )
 
     def __init__(
         self,
         *,
-        silence_s: float = SILENCE_S,
-        confirmation_s: float = CONFIRMATION_S,
+        silence_timeout_s: float = SILENCE_TIMEOUT_S,
+        confirmation_timeout_s: float = CONFIRMATION_TIMEOUT_S,
     ):
-        self._silence_s = silence_s
-        self._confirmation_s = confirmation_s
-        self._watches: dict[str, _Watch] = {}
-        self._heard_any_at = float("-inf")
+        self._silence_timeout_s = silence_timeout_s
+        self._confirmation_timeout_s = confirmation_timeout_s
+        self._watched: dict[str, _WatchedInstance] = {}
+        self._last_message_at = float("-inf")
 
     def set_expected(self, names: Iterable[str], now: float) -> None:
-        """Set whose heartbeats are expected.
+        """Set the instances whose heartbeats are expected.
 
         Parameters
         ----------
         names : iterable of str
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         expected = set(names)
-        for name, watch in self._watches.items():
+        for name, watch in self._watched.items():
             watch.expected = name in expected
-        for name in expected - self._watches.keys():
-            self._watches[name] = _Watch(now, now, expected=True)
+        for name in expected - self._watched.keys():
+            self._watched[name] = _WatchedInstance(now, now, expected=True)
 
-    def hear(self, name: str, now: float, *, heartbeat: bool = False) -> None:
-        """Record a sign of life.
+    def record_message(self, name: str, now: float, *, heartbeat: bool = False) -> None:
+        """Record a message from an instance.
 
         Parameters
         ----------
         name : str
-            The instance that is alive.
+            Name of the sender.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         heartbeat : bool
-            Whether it was a heartbeat; its sender is watched from then on.
+            Whether it was a heartbeat; its sender is watched from now on.
         """
-        watch = self._watches.get(name)
+        watch = self._watched.get(name)
         if watch is None:
             if heartbeat:
-                self._watches[name] = _Watch(now, now)
+                self._watched[name] = _WatchedInstance(now, now)
             return
         watch.heard_at = now
-        watch.direct_at = now
-        watch.asked_at = None
+        watch.heard_directly_at = now
+        watch.queried_at = None
         if not heartbeat and not watch.expected:
-            del self._watches[name]
+            del self._watched[name]
 
-    def hear_indirectly(self, name: str, now: float) -> None:
-        """Record that another instance lately heard an instance.
+    def record_indirect_sign(self, name: str, now: float) -> None:
+        """Record that another instance confirmed an instance to be alive.
 
-        Such a sign is not passed on, or else two watchers could confirm a dead
-        instance to each other for ever.
+        Indirect signs don't count in `heard_recently`: two watchers could otherwise
+        confirm a dead instance to each other forever.
 
         Parameters
         ----------
         name : str
-            The instance that is alive.
+            Name of the instance that is alive.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
-        watch = self._watches.get(name)
+        watch = self._watched.get(name)
         if watch is not None:
             watch.heard_at = now
-            watch.asked_at = None
+            watch.queried_at = None
 
-    def hear_any(self, now: float) -> None:
-        """Record that some message arrived.
+    def record_traffic(self, now: float) -> None:
+        """Record that a message arrived from any instance.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
-        self._heard_any_at = now
+        self._last_message_at = now
 
-    def drop(self, name: str) -> None:
+    def stop_watching(self, name: str) -> None:
         """Stop watching an instance.
 
         Parameters
         ----------
         name : str
         """
-        self._watches.pop(name, None)
+        self._watched.pop(name, None)
 
-    def hears(self, name: str, now: float) -> bool:
-        """Return whether an instance itself was heard lately.
+    def heard_recently(self, name: str, now: float) -> bool:
+        """Return whether an instance itself sent a message recently.
 
         Parameters
         ----------
         name : str
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
         """
-        watch = self._watches.get(name)
-        return watch is not None and now - watch.direct_at < FRESH_S
+        watch = self._watched.get(name)
+        return watch is not None and now - watch.heard_directly_at < RECENTLY_HEARD_S
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether no message arrived from anybody for a while.
+        """Return whether no message arrived from any instance for the silence timeout.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            False while nobody is watched.
+            False while no instance is watched.
         """
-        limit_s = self._silence_s
-        return bool(self._watches) and now - self._heard_any_at >= limit_s
+        limit_s = self._silence_timeout_s
+        return bool(self._watched) and now - self._last_message_at >= limit_s
 
-    def pardon(self, now: float) -> None:
-        """Count everybody as just heard, after a pause of this process.
+    def restart_timeouts(self, now: float) -> None:
+        """Restart all silence timeouts after a pause of this process.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
-        for watch in self._watches.values():
+        for watch in self._watched.values():
             watch.heard_at = now
-            watch.asked_at = None
+            watch.queried_at = None
 
-    def check(self, now: float) -> Findings:
-        """Find instances that are silent and those that stayed so.
+    def check(self, now: float) -> DetectionResult:
+        """Find the instances that are silent and those that stay unconfirmed.
+
+        Each instance is returned once as silent; afterwards it is returned as
+        unconfirmed each time the confirmation timeout expires.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
-        Findings
+        DetectionResult
         """
         silent = []
         unconfirmed = []
-        for name, watch in self._watches.items():
-            if now - watch.heard_at < self._silence_s:
+        for name, watch in self._watched.items():
+            if now - watch.heard_at < self._silence_timeout_s:
                 continue
-            if watch.asked_at is None:
-                watch.asked_at = now
+            if watch.queried_at is None:
+                watch.queried_at = now
                 silent.append(name)
-            elif now - watch.asked_at >= self._confirmation_s:
-                watch.asked_at = now
+            elif now - watch.queried_at >= self._confirmation_timeout_s:
+                watch.queried_at = now
                 unconfirmed.append(name)
-        return Findings(silent=tuple(silent), unconfirmed=tuple(unconfirmed))
+        return DetectionResult(silent=tuple(silent), unconfirmed=tuple(unconfirmed))
--- a/packages/decisions/src/ebonyhaven_decisions/_contacts.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_discovery.py
@@ -1,4 +1,4 @@
-"""Instances outside the live view that are worth contacting."""
+"""Joining the cluster and contacting listed or dead instances again."""
 
 from __future__ import annotations
 
@@ -14,24 +14,30 @@
 )
 
 CONTACT_INTERVAL_S = 5.0
-JOIN_INTERVAL_S = 0.5
+FAST_INTERVAL_S = 0.5
 MAX_JOIN_REQUESTS = 3
-JOIN_ATTEMPTS = 20
+FAST_ATTEMPTS = 20
 
 
-class Contacts:
-    """Decides when to contact listed or dead instances.
+class Discovery:
+    """Contacts listed or dead instances to join the cluster and heal partitions.
 
-    Until the first member table arrives some listed instances are asked for
-    it; afterwards one instance that is listed but unknown, or known as dead, is
-    probed now and then, which heals partitions; more often for a while after the
-    list changed.
+    Until the first member table arrives, it is requested from a few listed
+    instances. From then on, one instance at a time that is dead, or listed but
+    unknown, is probed, so that the two sides of a partition find each other again.
+    The first ``FAST_ATTEMPTS`` attempts after a start or a change of the list
+    follow each other faster.
 
     Parameters
     ----------
     name : str
         Name of this instance.
     rng : random.Random
+
+    Attributes
+    ----------
+    joined : bool
+        Whether a member table arrived; set by the owner.
     """
 
     __slots__ = ("_attempts", "_listed", "_name", "_next_at", "_rng", "joined")
@@ -45,12 +51,12 @@
         self.joined = False
 
     def set_listed(self, addresses: Mapping[str, str]) -> None:
-        """Set the listed instances.
+        """Set the instances listed by the platform or in the settings.
 
         Parameters
         ----------
         addresses : mapping of str to str
-            Control address of each instance by name.
+            Control addresses by name.
         """
         listed = dict(addresses)
         listed.pop(self._name, None)
@@ -71,18 +77,20 @@
         """
         return name in self._listed
 
-    def choose(
+    def build_messages(
         self, table: MemberTable, now: float, *, request: TableRequest, probe: Probe
     ) -> list[Envelope]:
-        """Return the messages that are due to instances outside the view.
+        """Return the messages that are due to listed or dead instances.
 
         Parameters
         ----------
         table : MemberTable
         now : float
-            Present time in seconds.
-        request, probe : TableRequest, Probe
-            Messages to send.
+            Current time in seconds.
+        request : TableRequest
+            Message sent until this instance has joined.
+        probe : Probe
+            Message sent afterwards.
 
         Returns
         -------
@@ -90,13 +98,13 @@
         """
         if now < self._next_at:
             return []
-        hurried = self._attempts < JOIN_ATTEMPTS
-        interval_s = JOIN_INTERVAL_S if hurried else CONTACT_INTERVAL_S
+        fast = self._attempts < FAST_ATTEMPTS
+        interval_s = FAST_INTERVAL_S if fast else CONTACT_INTERVAL_S
         self._next_at = now + interval_s * self._rng.uniform(0.8, 1.2)
         self._attempts += 1
         if not self.joined:
-            return self._pick(self._listed.items(), MAX_JOIN_REQUESTS, request)
-        return self._pick(self._list_absent(table), 1, probe)
+            return self._sample(self._listed.items(), MAX_JOIN_REQUESTS, request)
+        return self._sample(self._list_absent(table), 1, probe)
 
     def _list_absent(self, table: MemberTable) -> list[tuple[str, str]]:
         absent = {
@@ -111,7 +119,7 @@
         absent.pop(self._name, None)
         return list(absent.items())
 
-    def _pick(
+    def _sample(
         self,
         candidates: Iterable[tuple[str, str]],
         count: int,
@@ -120,5 +128,6 @@
         known = list(candidates)
         chosen = self._rng.sample(known, min(count, len(known)))
         return [
-            Envelope(name, address, message, fresh=True) for name, address in chosen
+            Envelope(name, address, message, new_connection=True)
+            for name, address in chosen
         ]
--- a/packages/decisions/src/ebonyhaven_decisions/_entries.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_entries.py
@@ -1,4 +1,4 @@
-"""Which instances a caller is told to use, and for how long."""
+"""Entry points: the instances to which a caller should send its requests."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from ebonyhaven_decisions._loads import OVERLOAD_TENTHS
 
 MAX_ENTRIES = 4
-KEEP_S = 5.0
-UNSETTLED_KEEP_S = 2.0
-KEEP_SPREAD = 0.2
-LOWEST_WEIGHT = 0.05
+TTL_S = 5.0
+UNSTABLE_TTL_S = 2.0
+TTL_JITTER_RATIO = 0.2
+MIN_WEIGHT = 0.05
 
 
 class EntryCandidate(NamedTuple):
-    """An instance that may be offered to callers.
+    """An instance that may be returned to callers as an entry point.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
         ``IP:PORT`` for callers.
     data_centre, region : str
     load : float
-        Share of its capacity in use, 0 to 1.
+        Used share of its capacity, 0 to 1.
     """
 
     name: str
@@ -37,11 +37,11 @@
 
     @property
     def overloaded(self) -> bool:
-        """Whether it is to be offered only after all others."""
+        """Whether it is ranked after all instances that are not overloaded."""
         return self.load * 10 >= OVERLOAD_TENTHS
 
     def describe(self) -> dict[str, Any]:
-        """Return the entry as JSON values."""
+        """Return the entry as a JSON object."""
         return {
             "instance": self.name,
             "address": self.address,
@@ -51,21 +51,21 @@
 
 
 class EntryList(NamedTuple):
-    """Answer to a caller.
+    """Entry points returned to a caller.
 
     Parameters
     ----------
     entries : tuple of EntryCandidate
-        In the order to try.
+        In the order in which to try them.
     keep_s : float
-        Seconds that the caller may keep the answer.
+        Seconds for which the caller may cache the list.
     """
 
     entries: tuple[EntryCandidate, ...]
     keep_s: float
 
     def describe(self) -> dict[str, Any]:
-        """Return the answer as JSON values."""
+        """Return the list as a JSON object."""
         entries = [entry.describe() for entry in self.entries]
         return {"entries": entries, "keep_s": self.keep_s}
 
@@ -76,15 +76,15 @@
     return 1 if candidate.region == region else 2
 
 
-def _draw_key(candidate: EntryCandidate, rng: random.Random) -> float:
-    weight = max(LOWEST_WEIGHT, 1.0 - candidate.load)
+def _draw_sort_key(candidate: EntryCandidate, rng: random.Random) -> float:
+    weight = max(MIN_WEIGHT, 1.0 - candidate.load)
     return -math.log(1.0 - rng.random()) / weight
 
 
-def _reserve_elsewhere(
+def _include_other_data_centre(
     ordered: list[EntryCandidate], limit: int
 ) -> list[EntryCandidate]:
-    """Return the first entries, the last of them in another data centre."""
+    """Return the first entries, the last one replaced by one in another data centre."""
     chosen = ordered[:limit]
     if limit < 2 or len({each.data_centre for each in chosen}) != 1:
         return chosen
@@ -101,41 +101,41 @@
     data_centre: str,
     region: str,
     rng: random.Random,
-    settled: bool = True,
+    is_stable: bool = True,
     limit: int = MAX_ENTRIES,
 ) -> EntryList:
-    """Choose the instances that a caller is told to use.
+    """Choose the entry points of a caller.
 
-    Those that are not overloaded come first, then the near ones. Among equals
-    the order is random with weights by free capacity: callers that keep their
-    answers spread over all instances, although loads are known late.
+    Instances that are not overloaded come first, then the near ones. Among equals
+    the order is random, weighted by free capacity: reported loads lag, and callers
+    that cache their lists still spread over all instances.
 
     Parameters
     ----------
     candidates : iterable of EntryCandidate
         Live instances.
     data_centre, region : str
-        Where the caller is presumed to be.
+        Presumed location of the caller.
     rng : random.Random
-    settled : bool
-        Whether the view on the instances did not change lately.
+    is_stable : bool
+        Whether the membership view has not changed recently.
     limit : int
-        Highest count of entries.
+        Maximum number of entries.
 
     Returns
     -------
     EntryList
-        The keep time varies, so that callers do not ask at the same time.
+        ``keep_s`` has jitter, so that callers do not refresh at the same time.
     """
     ordered = sorted(
         candidates,
         key=lambda each: (
             each.overloaded,
             _rank_distance(each, data_centre, region),
-            _draw_key(each, rng),
+            _draw_sort_key(each, rng),
         ),
     )
-    keep_s = KEEP_S if settled else UNSETTLED_KEEP_S
-    keep_s *= rng.uniform(1 - KEEP_SPREAD, 1 + KEEP_SPREAD)
-    entries = _reserve_elsewhere(ordered, limit) if ordered else []
+    keep_s = TTL_S if is_stable else UNSTABLE_TTL_S
+    keep_s *= rng.uniform(1 - TTL_JITTER_RATIO, 1 + TTL_JITTER_RATIO)
+    entries = _include_other_data_centre(ordered, limit) if ordered else []
     return EntryList(tuple(entries), round(keep_s, 2))
--- a/packages/decisions/src/ebonyhaven_decisions/_gossip.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_gossip.py
@@ -1,4 +1,4 @@
-"""Table of versioned entries that instances pass on to each other."""
+"""Table of versioned entries that instances gossip to each other."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 TRANSMISSIONS = 8
-OVERHEAD_BYTES = 2
+ENTRY_OVERHEAD_BYTES = 2
 
 
 class GossipEntry(NamedTuple):
@@ -16,7 +16,8 @@
     ----------
     key : str
     version : int
-        Set by the one instance that owns the entry, or by the observer's clock.
+        Assigned by the only instance that writes the entry, or taken from the clock
+        of the instance that observed the value.
     value : object
         JSON value.
     """
@@ -26,48 +27,48 @@
     value: Any
 
 
-class _Held(NamedTuple):
+class _StoredEntry(NamedTuple):
     entry: GossipEntry
     text: str
-    merged_at: float
+    stored_at: float
 
 
 class GossipTable:
-    """Newest entry of each key, with a bounded share of it in each message.
+    """Newest entry of each key, sent in messages of bounded size.
 
-    A new entry goes out ``transmissions`` times before all others; what room
-    is left in a message repeats the known entries in turn.
+    A new entry is sent ``transmissions`` times, with priority over older entries.
+    The remaining space of a message repeats the older entries in rotation.
 
     Parameters
     ----------
-    lifetime_s : float
-        Seconds after which an entry that was not renewed is dropped.
+    ttl_s : float
+        Time to live of an entry in seconds; a newer version restarts it.
     transmissions : int
-        How often a new entry is sent.
+        Number of messages in which a new entry is sent.
     repeat : bool
-        Whether known entries are repeated in the room that is left.
+        Whether older entries are repeated in the remaining space.
     """
 
-    __slots__ = ("_fresh", "_held", "_lifetime_s", "_repeat", "_transmissions")
+    __slots__ = ("_remaining_sends", "_repeat", "_stored", "_transmissions", "_ttl_s")
 
     def __init__(
         self,
         *,
-        lifetime_s: float,
+        ttl_s: float,
         transmissions: int = TRANSMISSIONS,
         repeat: bool = True,
     ):
-        self._lifetime_s = lifetime_s
+        self._ttl_s = ttl_s
         self._transmissions = transmissions
         self._repeat = repeat
-        self._held: dict[str, _Held] = {}
-        self._fresh: dict[str, int] = {}
+        self._stored: dict[str, _StoredEntry] = {}
+        self._remaining_sends: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._stored)
 
     def get(self, key: str) -> GossipEntry | None:
-        """Return the entry of a key, if it is known.
+        """Return the entry of a key, or None if there is none.
 
         Parameters
         ----------
@@ -77,47 +78,47 @@
         -------
         GossipEntry or None
         """
-        held = self._held.get(key)
-        return held.entry if held else None
+        stored = self._stored.get(key)
+        return stored.entry if stored else None
 
     def entries(self) -> list[GossipEntry]:
         """Return all entries."""
-        return [held.entry for held in self._held.values()]
+        return [stored.entry for stored in self._stored.values()]
 
     def merge(self, entry: GossipEntry, now: float) -> bool:
-        """Take in an entry.
+        """Store an entry if it is newer than the stored one.
 
         Parameters
         ----------
         entry : GossipEntry
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether it is newer than the known one.
+            Whether it was stored.
         """
         text = json.dumps(entry, separators=(",", ":"))
-        known = self._held.pop(entry.key, None)
+        known = self._stored.pop(entry.key, None)
         if known is not None:
             order = (known.entry.version, known.text)
             if (entry.version, text) <= order:
-                self._held[entry.key] = known
+                self._stored[entry.key] = known
                 return False
-        self._held[entry.key] = _Held(entry, text, now)
-        self._fresh[entry.key] = self._transmissions
+        self._stored[entry.key] = _StoredEntry(entry, text, now)
+        self._remaining_sends[entry.key] = self._transmissions
         return True
 
     def remove(self, key: str) -> None:
-        """Drop the entry of a key.
+        """Remove the entry of a key.
 
         Parameters
         ----------
         key : str
         """
-        del self._held[key]
-        self._fresh.pop(key, None)
+        del self._stored[key]
+        self._remaining_sends.pop(key, None)
 
     def collect(self, budget_bytes: int) -> list[GossipEntry]:
         """Return the entries for one message.
@@ -125,48 +126,51 @@
         Parameters
         ----------
         budget_bytes : int
-            Room in the message for their JSON text.
+            Space in the message for their JSON text.
 
         Returns
         -------
         list of GossipEntry
         """
         chosen: dict[str, GossipEntry] = {}
-        keys = list(self._fresh)
+        keys = list(self._remaining_sends)
         if self._repeat:
-            keys += list(self._held)[: max(1, budget_bytes // 8)]
+            # The shortest entry takes 8 bytes, so more entries cannot fit.
+            keys += list(self._stored)[: max(1, budget_bytes // 8)]
         for key in keys:
-            held = self._held[key]
-            cost_bytes = len(held.text) + OVERHEAD_BYTES
+            stored = self._stored[key]
+            cost_bytes = len(stored.text) + ENTRY_OVERHEAD_BYTES
             if key in chosen or cost_bytes > budget_bytes:
                 continue
             budget_bytes -= cost_bytes
-            chosen[key] = held.entry
+            chosen[key] = stored.entry
             self._mark_sent(key)
         return list(chosen.values())
 
     def expire(self, now: float) -> list[str]:
-        """Drop the entries that were not renewed for their lifetime.
+        """Remove the entries whose time to live has expired.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list of str
-            Their keys.
+            Keys of the removed entries.
         """
-        oldest = now - self._lifetime_s
-        expired = [key for key, held in self._held.items() if held.merged_at < oldest]
+        oldest = now - self._ttl_s
+        expired = [
+            key for key, stored in self._stored.items() if stored.stored_at < oldest
+        ]
         for key in expired:
             self.remove(key)
         return expired
 
     def _mark_sent(self, key: str) -> None:
-        held = self._held.pop(key)
-        self._held[key] = held
-        left = self._fresh.pop(key, 0) - 1
-        if left > 0:
-            self._fresh[key] = left
+        stored = self._stored.pop(key)
+        self._stored[key] = stored
+        remaining = self._remaining_sends.pop(key, 0) - 1
+        if remaining > 0:
+            self._remaining_sends[key] = remaining
--- a/packages/decisions/src/ebonyhaven_decisions/_isolation.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_isolation.py
@@ -1,53 +1,58 @@
-"""What an instance does while it hears nobody."""
+"""Probes sent while no message arrives from any instance."""
 
 from __future__ import annotations
 
 import random
 
-from ebonyhaven_decisions._detection import CONFIRMATION_S
+from ebonyhaven_decisions._detection import CONFIRMATION_TIMEOUT_S
 from ebonyhaven_decisions._members import MemberRecord, MemberState, MemberTable
 
 MAX_PROBES = 3
 
 
-class Isolation:
-    """Finds out which instances answer while no heartbeat arrives.
+class IsolationProber:
+    """Finds out which instances answer probes while this instance is isolated.
 
-    What an isolated instance observes may be its own fault, so it raises no
-    suspicion. It probes the others in turn instead and remembers who did not
-    answer; the first message from anybody ends that.
+    The silence that an isolated instance observes may be caused by its own network,
+    so it suspects no other instance. Instead it probes each of them once and records
+    which ones do not answer, until the first message arrives.
 
     Parameters
     ----------
     rng : random.Random
+
+    Attributes
+    ----------
+    unresponsive : set of str
+        Names of the instances that did not answer.
     """
 
-    __slots__ = ("_probed", "_rng", "unheard")
+    __slots__ = ("_probed", "_rng", "unresponsive")
 
     def __init__(self, *, rng: random.Random):
         self._rng = rng
         self._probed: dict[str, float] = {}
-        self.unheard: set[str] = set()
+        self.unresponsive: set[str] = set()
 
-    def end(self) -> None:
-        """Forget who did not answer, as a message arrived."""
-        if self.unheard or self._probed:
-            self.unheard.clear()
+    def reset(self) -> None:
+        """Discard all results; called when a message arrives."""
+        if self.unresponsive or self._probed:
+            self.unresponsive.clear()
             self._probed.clear()
 
-    def add_unheard(self, name: str) -> None:
+    def add_unresponsive(self, name: str) -> None:
         """Record that an instance did not answer.
 
         Parameters
         ----------
         name : str
         """
-        self.unheard.add(name)
+        self.unresponsive.add(name)
 
-    def choose_probes(
+    def choose_probe_targets(
         self, table: MemberTable, own_name: str, now: float
     ) -> list[MemberRecord]:
-        """Return the instances to probe next.
+        """Choose the instances to probe next.
 
         Parameters
         ----------
@@ -55,15 +60,15 @@
         own_name : str
             Name of this instance.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list of MemberRecord
         """
         for name, probed_at in self._probed.items():
-            if now - probed_at >= CONFIRMATION_S:
-                self.unheard.add(name)
+            if now - probed_at >= CONFIRMATION_TIMEOUT_S:
+                self.unresponsive.add(name)
         others = [
             record
             for record in table
--- a/packages/decisions/src/ebonyhaven_decisions/_loads.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_loads.py
@@ -1,16 +1,16 @@
-"""Load of the instances as they report it."""
+"""Load reports of the instances."""
 
 from __future__ import annotations
 
 from ebonyhaven_decisions._membership_messages import LoadReport
 
-REPORT_INTERVAL_S = 2.0
-REPORT_STEP_TENTHS = 2
+MIN_REPORT_INTERVAL_S = 2.0
+REPORT_THRESHOLD_TENTHS = 2
 OVERLOAD_TENTHS = 9
 
 
-def _is_overloaded(tenths: int) -> bool:
-    return tenths >= OVERLOAD_TENTHS
+def _is_overloaded(load_tenths: int) -> bool:
+    return load_tenths >= OVERLOAD_TENTHS
 
 
 class LoadTable:
@@ -23,7 +23,7 @@
         self._reported_at = float("-inf")
 
     def get(self, name: str) -> LoadReport | None:
-        """Return the newest report of an instance, if there is one.
+        """Return the newest report of an instance, or None if there is none.
 
         Parameters
         ----------
@@ -36,7 +36,7 @@
         return self._reports.get(name)
 
     def merge(self, report: LoadReport) -> bool:
-        """Take in a report.
+        """Store a report if it is newer than the stored one.
 
         Parameters
         ----------
@@ -45,7 +45,7 @@
         Returns
         -------
         bool
-            Whether it is newer than the known one.
+            Whether it was stored.
         """
         known = self._reports.get(report.name)
         if known is not None and report <= known:
@@ -53,8 +53,8 @@
         self._reports[report.name] = report
         return True
 
-    def forget(self, name: str) -> None:
-        """Drop the report of an instance.
+    def remove(self, name: str) -> None:
+        """Remove the report of an instance.
 
         Parameters
         ----------
@@ -62,33 +62,40 @@
         """
         self._reports.pop(name, None)
 
-    def report_own(self, name: str, incarnation: int, tenths: int, now: float) -> bool:
-        """Report the load of this instance if it moved enough.
+    def report_own(
+        self, name: str, incarnation: int, load_tenths: int, now: float
+    ) -> bool:
+        """Store a new report of this instance if its load changed enough.
+
+        A report is due if the load moved by ``REPORT_THRESHOLD_TENTHS`` or crossed
+        ``OVERLOAD_TENTHS``, but at most every ``MIN_REPORT_INTERVAL_S`` seconds.
 
         Parameters
         ----------
         name : str
+            Name of this instance.
         incarnation : int
-        tenths : int
+            Incarnation of this instance.
+        load_tenths : int
             Load in tenths, 0 to 10.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether a new report is in the table.
+            Whether a new report was stored.
         """
         known = self._reports.get(name)
-        if known is not None and not self._is_due(known, tenths, now):
+        if known is not None and not self._is_due(known, load_tenths, now):
             return False
         sequence = known.sequence + 1 if known else 0
         self._reported_at = now
-        return self.merge(LoadReport(incarnation, sequence, tenths, name))
+        return self.merge(LoadReport(incarnation, sequence, load_tenths, name))
 
-    def _is_due(self, known: LoadReport, tenths: int, now: float) -> bool:
-        if now - self._reported_at < REPORT_INTERVAL_S:
+    def _is_due(self, known: LoadReport, load_tenths: int, now: float) -> bool:
+        if now - self._reported_at < MIN_REPORT_INTERVAL_S:
             return False
-        if _is_overloaded(known.tenths) != _is_overloaded(tenths):
+        if _is_overloaded(known.load_tenths) != _is_overloaded(load_tenths):
             return True
-        return abs(known.tenths - tenths) >= REPORT_STEP_TENTHS
+        return abs(known.load_tenths - load_tenths) >= REPORT_THRESHOLD_TENTHS
--- a/packages/decisions/src/ebonyhaven_decisions/_member_view.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_member_view.py
@@ -1,23 +1,23 @@
-"""Records that one instance holds about all, and its defence of its own."""
+"""Member table of an instance, its load reports and its refutations."""
 
 from __future__ import annotations
 
 import dataclasses
 
-from ebonyhaven_decisions._announcements import Announcements
-from ebonyhaven_decisions._detection import Detector
+from ebonyhaven_decisions._detection import FailureDetector
+from ebonyhaven_decisions._dissemination import Disseminator
 from ebonyhaven_decisions._loads import LoadTable
 from ebonyhaven_decisions._members import MemberRecord, MemberState, MemberTable
 
-SUSPICION_S = 5.0
-FORGET_S = 3600.0
+SUSPICION_TIMEOUT_S = 5.0
+DEAD_RETENTION_S = 3600.0
 
 
 @dataclasses.dataclass(slots=True)
 class MembershipCounts:
-    """Counts of events since the start.
+    """Numbers of events since the start of this instance.
 
-    ``suspicions`` counts those that this instance raised itself.
+    ``suspicions`` counts only those that this instance raised itself.
     """
 
     silences: int = 0
@@ -30,14 +30,23 @@
 
 
 class MemberView:
-    """Member table of an instance with everything that a new record touches.
+    """Member table of an instance and the state that a new record changes.
+
+    A record of this instance that is newer than the current one is refuted with a
+    higher incarnation, or marks this instance as superseded if it belongs to a newer
+    process of the same name.
 
     Parameters
     ----------
     own : MemberRecord
         Record of this instance.
     now : float
-        Present time in seconds.
+        Current time in seconds.
+
+    Attributes
+    ----------
+    superseded : bool
+        Whether a newer process runs under the name of this instance.
     """
 
     def __init__(self, *, own: MemberRecord, now: float):
@@ -47,47 +56,50 @@
         self.counts = MembershipCounts()
         self.superseded = False
         self._changes: list[MemberRecord] = []
-        self._detector = Detector()
-        self._announcements = Announcements(
+        self._detector = FailureDetector()
+        self._dissemination = Disseminator(
             name=own.name, table=self.table, loads=self.loads
         )
         self.table.merge(own, now)
 
-    def take_changes(self) -> list[MemberRecord]:
-        """Return the records that changed since the last call."""
+    def pop_changes(self) -> list[MemberRecord]:
+        """Return and clear the records that changed since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
-    def set_load(self, tenths: int, now: float) -> None:
+    def set_load(self, load_tenths: int, now: float) -> None:
         """Set the load of this instance.
 
         Parameters
         ----------
-        tenths : int
+        load_tenths : int
             0 (idle) to 10 (full).
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         own = self.own
-        if self.loads.report_own(own.name, own.incarnation, tenths, now):
-            self._announcements.add_load(own.name)
+        if self.loads.report_own(own.name, own.incarnation, load_tenths, now):
+            self._dissemination.queue_load(own.name)
 
-    def _take_record(self, record: MemberRecord, informant: str, now: float) -> None:
+    def _merge_record(
+        self, record: MemberRecord, received_from: str, now: float
+    ) -> None:
         if record.name == self.own.name:
-            self._defend(record, now)
+            self._refute(record, now)
         elif self.table.merge(record, now):
             if record.state == MemberState.DEAD:
-                self._detector.drop(record.name)
-                self.loads.forget(record.name)
+                self._detector.stop_watching(record.name)
+                self.loads.remove(record.name)
             self._changes.append(record)
-            self._announcements.add_record(record.name, informant=informant)
+            self._dissemination.queue_record(record.name, received_from=received_from)
 
-    def _defend(self, record: MemberRecord, now: float) -> None:
+    def _refute(self, record: MemberRecord, now: float) -> None:
+        """Refute a record of this instance unless it is of a newer process."""
         if record <= self.own or self.own.state == MemberState.DEAD:
             return
-        another = record.control_address != self.own.control_address
-        present = record.state < MemberState.SUSPECT
-        if another and present and record.incarnation > self.own.incarnation:
+        is_other_process = record.control_address != self.own.control_address
+        is_active = record.state < MemberState.SUSPECT
+        if is_other_process and is_active and record.incarnation > self.own.incarnation:
             self.superseded = True
             return
         self.counts.refutations += 1
@@ -96,16 +108,16 @@
     def _replace_own(self, now: float, **changes: int) -> None:
         self.own = self.own._replace(**changes)
         self.table.merge(self.own, now)
-        self._announcements.add_record(self.own.name)
+        self._dissemination.queue_record(self.own.name)
 
-    def _expire(self, now: float) -> list[str]:
-        """Declare dead who was suspect for long; return who was dead for long."""
-        forgettable = []
+    def _expire_records(self, now: float) -> list[str]:
+        """Declare expired suspects dead; return the names of expired dead instances."""
+        expired = []
         for record in list(self.table):
             age_s = now - self.table.changed_at(record.name)
-            if record.state == MemberState.SUSPECT and age_s >= SUSPICION_S:
+            if record.state == MemberState.SUSPECT and age_s >= SUSPICION_TIMEOUT_S:
                 self.counts.deaths += 1
-                self._take_record(record._replace(state=MemberState.DEAD), "", now)
-            elif record.state == MemberState.DEAD and age_s >= FORGET_S:
-                forgettable.append(record.name)
-        return forgettable
+                self._merge_record(record._replace(state=MemberState.DEAD), "", now)
+            elif record.state == MemberState.DEAD and age_s >= DEAD_RETENTION_S:
+                expired.append(record.name)
+        return expired
--- a/packages/decisions/src/ebonyhaven_decisions/_members.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_members.py
@@ -20,13 +20,13 @@
 
 
 class MemberRecord(NamedTuple):
-    """What one instance knows about another.
+    """State of an instance as known to another one.
 
     Parameters
     ----------
     incarnation : int
-        Raised by the instance itself, to refute a suspicion; the record with
-        the higher incarnation wins.
+        Increased by the instance itself to refute a suspicion; the record with the
+        higher incarnation wins.
     state : MemberState
     name : str
         Name of the instance.
@@ -52,8 +52,8 @@
 def merge_records(first: MemberRecord, second: MemberRecord) -> MemberRecord:
     """Return the newer of two records of the same instance.
 
-    The order is total (incarnation, state, then the remaining fields), hence
-    the merge is commutative, associative and idempotent.
+    The order is total (incarnation, state, then the remaining fields), so the merge
+    is commutative, associative and idempotent.
 
     Parameters
     ----------
@@ -67,10 +67,10 @@
 
 
 class MemberTable:
-    """The records of all known instances.
+    """Newest record of each known instance.
 
-    The table only moves forward: a record is replaced by a newer one or, when
-    dead for long, forgotten.
+    A record is only ever replaced by a newer one; the record of an instance that
+    has been dead for long is removed.
     """
 
     __slots__ = ("_changed_at", "_digest", "_records", "_version")
@@ -89,16 +89,16 @@
 
     @property
     def digest(self) -> int:
-        """Digest of the records that are not dead, for comparing two tables."""
+        """Digest of the records that are not dead, to compare two tables."""
         return self._digest
 
     @property
     def version(self) -> int:
-        """Count of changes, for caches derived from the table."""
+        """Number of changes, to invalidate values derived from the table."""
         return self._version
 
     def get(self, name: str) -> MemberRecord | None:
-        """Return the record of an instance, if it is known.
+        """Return the record of an instance, or None if it is unknown.
 
         Parameters
         ----------
@@ -111,11 +111,12 @@
         return self._records.get(name)
 
     def changed_at(self, name: str) -> float:
-        """Return when the record of a known instance last changed, in seconds.
+        """Return the time in seconds when the record of an instance last changed.
 
         Parameters
         ----------
         name : str
+            Name of a known instance.
 
         Returns
         -------
@@ -124,13 +125,13 @@
         return self._changed_at[name]
 
     def merge(self, record: MemberRecord, now: float) -> bool:
-        """Take in a record.
+        """Store a record if it is newer than the stored one.
 
         Parameters
         ----------
         record : MemberRecord
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -148,8 +149,8 @@
         self._version += 1
         return True
 
-    def postpone_changes(self, seconds: float) -> None:
-        """Move all times of change forward, after a pause of this process.
+    def shift_change_times(self, seconds: float) -> None:
+        """Move the change times of all records forward after a pause of this process.
 
         Parameters
         ----------
@@ -159,8 +160,8 @@
         for name in self._changed_at:
             self._changed_at[name] += seconds
 
-    def forget(self, name: str) -> None:
-        """Drop the record of an instance.
+    def remove(self, name: str) -> None:
+        """Remove the record of an instance.
 
         Parameters
         ----------
--- a/packages/decisions/src/ebonyhaven_decisions/_membership.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_membership.py
@@ -1,13 +1,13 @@
-"""Membership of the instances: who is live, leaving, suspect or dead."""
+"""Membership protocol: which instances are live, leaving, suspect or dead."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Mapping
 
-from ebonyhaven_decisions._contacts import Contacts
-from ebonyhaven_decisions._detection import CONFIRMATION_S, SILENCE_S
-from ebonyhaven_decisions._isolation import Isolation
+from ebonyhaven_decisions._detection import CONFIRMATION_TIMEOUT_S, SILENCE_TIMEOUT_S
+from ebonyhaven_decisions._discovery import Discovery
+from ebonyhaven_decisions._isolation import IsolationProber
 from ebonyhaven_decisions._member_view import MemberView
 from ebonyhaven_decisions._members import MemberRecord, MemberState
 from ebonyhaven_decisions._membership_messages import (
@@ -24,18 +24,19 @@
 from ebonyhaven_decisions._reconciliation import Reconciliation
 
 TICK_S = 0.25
-EXPIRY_TICKS = 4
-PAUSE_S = SILENCE_S + CONFIRMATION_S
-CATCH_UP_S = 2.0
+EXPIRY_INTERVAL_TICKS = 4
+PAUSE_THRESHOLD_S = SILENCE_TIMEOUT_S + CONFIRMATION_TIMEOUT_S
+CATCH_UP_TIMEOUT_S = 2.0
 MAX_CATCH_UP_REQUESTS = 2
-MAX_HELPERS = 3
+MAX_QUERIED_WATCHERS = 3
 
 
 class Membership(MemberView):
-    """View of one instance on all instances.
+    """Membership view of one instance.
 
-    Each call returns the messages to send. ``tick`` has to be called every
-    ``TICK_S`` seconds, ``flush`` soon after ``has_news`` turns true.
+    ``tick``, ``flush``, ``receive`` and ``depart`` return the messages to send.
+    ``tick`` has to be called every ``TICK_S`` seconds, ``flush`` soon after
+    ``has_pending_updates`` becomes true.
 
     Parameters
     ----------
@@ -43,42 +44,42 @@
         Record of this instance.
     rng : random.Random
     now : float
-        Present time in seconds of a clock that goes on during pauses.
+        Current time in seconds of a clock that also runs while the process is paused.
     """
 
     def __init__(self, *, own: MemberRecord, rng: random.Random, now: float):
         super().__init__(own=own, now=now)
-        self.contacts = Contacts(name=own.name, rng=rng)
-        self._isolation = Isolation(rng=rng)
+        self.discovery = Discovery(name=own.name, rng=rng)
+        self._isolation = IsolationProber(rng=rng)
         self._reconciliation = Reconciliation()
-        self._askers: dict[str, dict[str, str]] = {}
+        self._pending_queries: dict[str, dict[str, str]] = {}
         self._ticks = 0
         self._ticked_at = now
         self._catch_up_until = now
-        self._arrange(now)
+        self._update_targets(now)
 
     @property
-    def has_news(self) -> bool:
-        """Whether changed records wait to be sent."""
-        return self._announcements.has_news
+    def has_pending_updates(self) -> bool:
+        """Whether changed records are queued for any neighbour."""
+        return self._dissemination.has_pending_updates
 
     @property
     def targets(self) -> tuple[str, ...]:
-        """Names of the instances that get heartbeats."""
-        return self._announcements.targets
+        """Names of the neighbours, which get heartbeats from this instance."""
+        return self._dissemination.targets
 
     @property
-    def unheard(self) -> frozenset[str]:
-        """Instances that gave no answer while nobody was heard."""
-        return frozenset(self._isolation.unheard)
+    def unresponsive(self) -> frozenset[str]:
+        """Names of the instances that did not answer while this one was isolated."""
+        return frozenset(self._isolation.unresponsive)
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether nothing was heard from any instance for a while.
+        """Return whether no message arrived from any instance for the silence timeout.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -87,46 +88,48 @@
         return self._detector.is_isolated(now)
 
     def is_outdated(self, now: float) -> bool:
-        """Return whether this process was paused and has not caught up yet.
+        """Return whether the view is outdated after a pause of this process.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
+            True from a pause until a complete member table arrives, or until
+            ``CATCH_UP_TIMEOUT_S`` seconds after the pause.
         """
-        return now - self._ticked_at >= PAUSE_S or now < self._catch_up_until
+        return now - self._ticked_at >= PAUSE_THRESHOLD_S or now < self._catch_up_until
 
     def set_listed(self, addresses: Mapping[str, str]) -> None:
-        """Set the instances that the platform lists.
+        """Set the instances listed by the platform or in the settings.
 
         Parameters
         ----------
         addresses : mapping of str to str
-            Control address by name.
+            Control addresses by name.
         """
-        self.contacts.set_listed(addresses)
+        self.discovery.set_listed(addresses)
 
     def leave(self, now: float) -> None:
-        """Announce that this instance takes no new callers.
+        """Announce that this instance accepts no new callers.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         self._replace_own(now, state=MemberState.LEAVING)
 
     def depart(self, now: float) -> list[Envelope]:
-        """Announce the end of this instance.
+        """Announce that this instance stops.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
@@ -134,44 +137,49 @@
         """
         targets = self.targets
         self._replace_own(now, state=MemberState.DEAD)
-        return [self._announcements.make(name, self.own.state) for name in targets]
+        return [
+            self._dissemination.build_heartbeat(name, self.own.state)
+            for name in targets
+        ]
 
     def tick(self, now: float) -> list[Envelope]:
-        """Do what is due by time.
+        """Run all periodic work that is due.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list of Envelope
         """
-        envelopes = self._notice_pause(now)
+        envelopes = self._handle_pause(now)
         if self.superseded:
             return []
         self._ticks += 1
         envelopes += self._check_silence(now)
-        if self._ticks % EXPIRY_TICKS == 0:
-            for name in self._expire(now):
-                self._forget(name)
-        self._arrange(now)
-        envelopes += self._announcements.make_turn(self._ticks, self.own.state)
-        envelopes += self.contacts.choose(
+        if self._ticks % EXPIRY_INTERVAL_TICKS == 0:
+            for name in self._expire_records(now):
+                self._remove(name)
+        self._update_targets(now)
+        envelopes += self._dissemination.build_due_heartbeats(
+            self._ticks, self.own.state
+        )
+        envelopes += self.discovery.build_messages(
             self.table, now, request=TableRequest(self.own), probe=Probe(self.own)
         )
         return envelopes
 
-    def flush(self, now: float, *, everyone: bool = False) -> list[Envelope]:
-        """Return heartbeats for the neighbours that changed records wait for.
+    def flush(self, now: float, *, all_targets: bool = False) -> list[Envelope]:
+        """Return heartbeats for the neighbours that have changed records queued.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
-        everyone : bool
-            Whether to send to the other neighbours as well.
+            Current time in seconds.
+        all_targets : bool
+            Whether to include the neighbours that have nothing queued.
 
         Returns
         -------
@@ -179,40 +187,44 @@
         """
         if self.superseded:
             return []
-        self._arrange(now)
-        return self._announcements.make_news(self.own.state, everyone=everyone)
+        self._update_targets(now)
+        return self._dissemination.build_update_heartbeats(
+            self.own.state, all_targets=all_targets
+        )
 
     def receive(
         self, sender: str, incarnation: int, message: MembershipMessage, now: float
     ) -> list[Envelope]:
-        """Take in a message.
+        """Process a message from another instance.
 
         Parameters
         ----------
         sender : str
-            Name of the instance that sent it.
+            Name of the sender.
         incarnation : int
-            Its incarnation when it was sent.
+            Incarnation of the sender when it sent the message.
         message : MembershipMessage
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         list of Envelope
         """
         known = self.table.get(sender)
-        self._take_records(message, sender, now)
+        self._merge_records(message, sender, now)
         if sender == self.own.name:
             return []
-        envelopes = self._give_notice(sender, incarnation, now)
+        envelopes = self._notify_outdated_sender(sender, incarnation, now)
         if known and incarnation < known.incarnation:
             return envelopes
-        self._detector.hear_any(now)
-        self._isolation.end()
-        envelopes += self._hear(sender, now, heartbeat=isinstance(message, Heartbeat))
+        self._detector.record_traffic(now)
+        self._isolation.reset()
+        envelopes += self._record_message(
+            sender, now, heartbeat=isinstance(message, Heartbeat)
+        )
         if known is None or known.state == MemberState.DEAD:
-            envelopes += self._meet(sender, now)
+            envelopes += self._request_new_peer_table(sender, now)
         return envelopes + self._respond(sender, message, now)
 
     def _respond(
@@ -222,20 +234,22 @@
             case Heartbeat():
                 return self._receive_heartbeat(sender, message, now)
             case Probe(record):
-                return [_address(record, ProbeAnswer(self.own), fresh=True)]
+                return [
+                    _make_envelope(record, ProbeAnswer(self.own), new_connection=True)
+                ]
             case Query(record, subject):
                 return self._answer_query(record, subject, now)
             case QueryAnswer(subject):
                 self.counts.indirect_signs += 1
-                self._detector.hear_indirectly(subject, now)
+                self._detector.record_indirect_sign(subject, now)
             case TableRequest(record):
-                return [_address(record, TableAnswer(tuple(self.table)))]
+                return [_make_envelope(record, TableAnswer(tuple(self.table)))]
             case TableAnswer():
-                self.contacts.joined = True
+                self.discovery.joined = True
                 self._end_catch_up(message, now)
         return []
 
-    def _take_records(
+    def _merge_records(
         self, message: MembershipMessage, sender: str, now: float
     ) -> None:
         match message:
@@ -246,129 +260,142 @@
             case _:
                 records = (message.sender,)
         for record in records:
-            self._take_record(record, sender, now)
+            self._merge_record(record, sender, now)
 
-    def _give_notice(self, name: str, incarnation: int, now: float) -> list[Envelope]:
-        """Tell a sender that is suspect, dead or outdated, so that it refutes."""
+    def _notify_outdated_sender(
+        self, name: str, incarnation: int, now: float
+    ) -> list[Envelope]:
+        """Send a suspect, dead or outdated sender its record, so that it refutes it."""
         known = self.table.get(name)
         if known is None or known.incarnation < incarnation:
             return []
-        outdated = known.incarnation > incarnation
-        if known.state < MemberState.SUSPECT and not outdated:
+        is_outdated = known.incarnation > incarnation
+        if known.state < MemberState.SUSPECT and not is_outdated:
             return []
-        if not self._reconciliation.claim_notice(name, now):
+        if not self._reconciliation.allow_notice(name, now):
             return []
-        return [_address(known, TableAnswer((known,)))]
+        return [_make_envelope(known, TableAnswer((known,)))]
 
     def _receive_heartbeat(
         self, sender: str, message: Heartbeat, now: float
     ) -> list[Envelope]:
         for report in message.loads:
             if self.table.get(report.name) and self.loads.merge(report):
-                self._announcements.add_load(report.name, informant=sender)
+                self._dissemination.queue_load(report.name, received_from=sender)
         record = self.table.get(sender)
-        own = self.table.digest
-        if self._reconciliation.compare(sender, message.digest, own, now) and record:
+        own_digest = self.table.digest
+        if (
+            self._reconciliation.is_request_due(sender, message.digest, own_digest, now)
+            and record
+        ):
             return self._request_table(record)
         return []
 
-    def _meet(self, sender: str, now: float) -> list[Envelope]:
+    def _request_new_peer_table(self, sender: str, now: float) -> list[Envelope]:
         record = self.table.get(sender)
         if record is None or record.state == MemberState.DEAD:
             return []
-        if not self._reconciliation.meet(now):
+        if not self._reconciliation.allow_new_peer_request(now):
             return []
         return self._request_table(record)
 
     def _request_table(self, record: MemberRecord) -> list[Envelope]:
         self.counts.table_requests += 1
-        return [_address(record, TableRequest(self.own))]
+        return [_make_envelope(record, TableRequest(self.own))]
 
-    def _hear(self, name: str, now: float, *, heartbeat: bool) -> list[Envelope]:
-        self._detector.hear(name, now, heartbeat=heartbeat)
+    def _record_message(
+        self, name: str, now: float, *, heartbeat: bool
+    ) -> list[Envelope]:
+        self._detector.record_message(name, now, heartbeat=heartbeat)
         return [
-            Envelope(asker, address, QueryAnswer(name))
-            for asker, address in self._askers.pop(name, {}).items()
+            Envelope(querier, address, QueryAnswer(name))
+            for querier, address in self._pending_queries.pop(name, {}).items()
         ]
 
     def _answer_query(
-        self, asker: MemberRecord, subject: str, now: float
+        self, querier: MemberRecord, subject: str, now: float
     ) -> list[Envelope]:
         record = self.table.get(subject)
         if record is None or subject == self.own.name:
             return []
-        if self._detector.hears(subject, now):
-            return [_address(asker, QueryAnswer(subject))]
-        self._askers.setdefault(subject, {})[asker.name] = asker.control_address
-        return [_address(record, Probe(self.own), fresh=True)]
+        if self._detector.heard_recently(subject, now):
+            return [_make_envelope(querier, QueryAnswer(subject))]
+        self._pending_queries.setdefault(subject, {})[querier.name] = (
+            querier.control_address
+        )
+        return [_make_envelope(record, Probe(self.own), new_connection=True)]
 
     def _check_silence(self, now: float) -> list[Envelope]:
-        findings = self._detector.check(now)
+        result = self._detector.check(now)
         envelopes = []
-        for name in findings.silent:
+        for name in result.silent:
             self.counts.silences += 1
-            envelopes += self._ask_about(name)
+            envelopes += self._verify_liveness(name)
         isolated = self.is_isolated(now)
-        for name in findings.unconfirmed:
+        for name in result.unconfirmed:
             if isolated:
-                self._isolation.add_unheard(name)
+                self._isolation.add_unresponsive(name)
             else:
                 self._suspect(name, now)
         if isolated:
-            probed = self._isolation.choose_probes(self.table, self.own.name, now)
+            probed = self._isolation.choose_probe_targets(
+                self.table, self.own.name, now
+            )
             probe = Probe(self.own)
-            envelopes += [_address(each, probe, fresh=True) for each in probed]
+            envelopes += [
+                _make_envelope(each, probe, new_connection=True) for each in probed
+            ]
         return envelopes
 
-    def _ask_about(self, name: str) -> list[Envelope]:
+    def _verify_liveness(self, name: str) -> list[Envelope]:
         record = self.table.get(name)
         if record is None:
             return []
         query = Query(self.own, name)
-        envelopes = [_address(record, Probe(self.own), fresh=True)]
-        for helper in self._announcements.watchers(name)[:MAX_HELPERS]:
-            envelopes.append(_address(self.table.get(helper), query))
+        envelopes = [_make_envelope(record, Probe(self.own), new_connection=True)]
+        for watcher in self._dissemination.watchers(name)[:MAX_QUERIED_WATCHERS]:
+            envelopes.append(_make_envelope(self.table.get(watcher), query))
         return envelopes
 
     def _suspect(self, name: str, now: float) -> None:
         record = self.table.get(name)
         if record is None:
-            self._detector.drop(name)
+            self._detector.stop_watching(name)
             return
         if record.state >= MemberState.SUSPECT:
             return
         self.counts.suspicions += 1
-        self._take_record(record._replace(state=MemberState.SUSPECT), "", now)
+        self._merge_record(record._replace(state=MemberState.SUSPECT), "", now)
 
-    def _forget(self, name: str) -> None:
-        if name != self.own.name and not self.contacts.is_listed(name):
-            self.table.forget(name)
-            self._reconciliation.forget(name)
+    def _remove(self, name: str) -> None:
+        if name != self.own.name and not self.discovery.is_listed(name):
+            self.table.remove(name)
+            self._reconciliation.remove(name)
 
-    def _notice_pause(self, now: float) -> list[Envelope]:
+    def _handle_pause(self, now: float) -> list[Envelope]:
         gap_s = now - self._ticked_at
         self._ticked_at = now
-        if gap_s < PAUSE_S:
+        if gap_s < PAUSE_THRESHOLD_S:
             return []
         self.counts.pauses += 1
-        self.table.postpone_changes(gap_s)
-        self._detector.pardon(now)
+        self.table.shift_change_times(gap_s)
+        self._detector.restart_timeouts(now)
         if not self.superseded:
             self._replace_own(now, incarnation=self.own.incarnation + 1)
-        self._catch_up_until = now + CATCH_UP_S
+        self._catch_up_until = now + CATCH_UP_TIMEOUT_S
         records = map(self.table.get, self.targets[:MAX_CATCH_UP_REQUESTS])
-        return [_address(record, TableRequest(self.own)) for record in records]
+        return [_make_envelope(record, TableRequest(self.own)) for record in records]
 
     def _end_catch_up(self, answer: TableAnswer, now: float) -> None:
-        if len(answer.records) > 1:  # a single record is a notice
+        if len(answer.records) > 1:  # a single record only notifies an outdated sender
             self._catch_up_until = now
 
-    def _arrange(self, now: float) -> None:
-        if self._announcements.arrange():
-            self._detector.set_expected(self._announcements.sources(), now)
+    def _update_targets(self, now: float) -> None:
+        if self._dissemination.update_targets():
+            self._detector.set_expected(self._dissemination.sources(), now)
 
 
-def _address(
-    record: MemberRecord, message: MembershipMessage, *, fresh: bool = False
+def _make_envelope(
+    record: MemberRecord, message: MembershipMessage, *, new_connection: bool = False
 ) -> Envelope:
-    return Envelope(record.name, record.control_address, message, fresh)
+    return Envelope(record.name, record.control_address, message, new_connection)
--- a/packages/decisions/src/ebonyhaven_decisions/_membership_messages.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances about membership."""
+"""Membership messages between instances."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class LoadReport(NamedTuple):
-    """Load of an instance as that instance reported it.
+    """Load of an instance as reported by that instance.
 
     Parameters
     ----------
     incarnation : int
         Incarnation of the reporting process.
     sequence : int
-        Count of the reports of that incarnation; the higher is newer.
-    tenths : int
+        Number of the report within the incarnation; the higher one is newer.
+    load_tenths : int
         Load in tenths, 0 to 10.
     name : str
         Name of the instance.
@@ -24,12 +24,12 @@
 
     incarnation: int
     sequence: int
-    tenths: int
+    load_tenths: int
     name: str
 
 
 class Heartbeat(NamedTuple):
-    """Sign of life along an edge, with news.
+    """Periodic message to a neighbour that also carries recent changes.
 
     Parameters
     ----------
@@ -38,9 +38,9 @@
     digest : int
         Digest of the sender's member table.
     updates : tuple of MemberRecord
-        Records that changed lately.
+        Records that changed recently.
     loads : tuple of LoadReport
-        Load reports that changed lately.
+        Load reports that changed recently.
     """
 
     state: MemberState
@@ -50,7 +50,7 @@
 
 
 class Probe(NamedTuple):
-    """Request for a `ProbeAnswer`.
+    """Request for a `ProbeAnswer`, to learn whether the receiver is alive.
 
     Parameters
     ----------
@@ -74,12 +74,12 @@
 
 
 class Query(NamedTuple):
-    """Question whether the receiver hears an instance.
+    """Request to confirm that an instance is alive.
 
     Parameters
     ----------
     sender : MemberRecord
-        Record of the instance that asks.
+        Record of the querying instance.
     subject : str
         Name of the silent instance.
     """
@@ -89,19 +89,19 @@
 
 
 class QueryAnswer(NamedTuple):
-    """Statement that the sender hears an instance.
+    """Confirmation that the sender got a message from an instance recently.
 
     Parameters
     ----------
     subject : str
-        Name of the instance.
+        Name of the instance that is alive.
     """
 
     subject: str
 
 
 class TableRequest(NamedTuple):
-    """Request for the whole member table.
+    """Request for the complete member table.
 
     Parameters
     ----------
@@ -113,7 +113,7 @@
 
 
 class TableAnswer(NamedTuple):
-    """Whole or part of a member table.
+    """Some or all records of a member table.
 
     Parameters
     ----------
@@ -129,7 +129,7 @@
 
 
 class Envelope(NamedTuple):
-    """A message on its way to another instance.
+    """A message to be sent to another instance.
 
     Parameters
     ----------
@@ -138,12 +138,12 @@
     address : str
         Control address of the receiver.
     message : MembershipMessage
-    fresh : bool
-        Whether the message needs a new connection, as the present one may be
-        silent.
+    new_connection : bool
+        Whether to send the message over a new connection, because the present one
+        may be broken without an error.
     """
 
     name: str
     address: str
     message: MembershipMessage
-    fresh: bool = False
+    new_connection: bool = False
--- a/packages/decisions/src/ebonyhaven_decisions/_reconciliation.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_reconciliation.py
@@ -1,92 +1,94 @@
-"""When to fetch the member table of another instance, or to correct it."""
+"""Rate limits of the messages that reconcile member tables."""
 
 from __future__ import annotations
 
-MISMATCH_S = 4.0
-REQUEST_INTERVAL_S = 15.0
-FIRST_REQUEST_INTERVAL_S = 1.0
+MISMATCH_TOLERANCE_S = 4.0
+TABLE_REQUEST_INTERVAL_S = 15.0
+NEW_PEER_REQUEST_INTERVAL_S = 1.0
 NOTICE_INTERVAL_S = 1.0
 
 
 class Reconciliation:
-    """Rates of the messages that repair differences between member tables."""
+    """Decides when to request a member table or notify an outdated sender."""
 
-    __slots__ = ("_mismatched_at", "_noticed_at", "_requested_at")
+    __slots__ = ("_mismatched_at", "_notified_at", "_requested_at")
 
     def __init__(self) -> None:
         self._mismatched_at: dict[str, float] = {}
-        self._noticed_at: dict[str, float] = {}
+        self._notified_at: dict[str, float] = {}
         self._requested_at = float("-inf")
 
-    def compare(self, sender: str, theirs: int, own: int, now: float) -> bool:
-        """Compare the digests of two tables.
+    def is_request_due(
+        self, sender: str, peer_digest: int, own_digest: int, now: float
+    ) -> bool:
+        """Return whether to request the table of a peer whose digest differs.
 
         Parameters
         ----------
         sender : str
-            Instance that sent its digest.
-        theirs, own : int
-            Digests.
+            Name of the peer.
+        peer_digest, own_digest : int
+            Digests of the two member tables.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether to fetch the sender's table: the digests differ for longer
-            than news need to spread.
+            True if the digests differ for longer than an update takes to spread and
+            no table was requested recently.
         """
-        if theirs == own:
+        if peer_digest == own_digest:
             self._mismatched_at.pop(sender, None)
             return False
         since = self._mismatched_at.setdefault(sender, now)
-        if now - since < MISMATCH_S:
+        if now - since < MISMATCH_TOLERANCE_S:
             return False
-        return self._claim_request(now, REQUEST_INTERVAL_S)
+        return self._allow_request(now, TABLE_REQUEST_INTERVAL_S)
 
-    def meet(self, now: float) -> bool:
-        """Return whether to fetch the table of an instance that was absent.
+    def allow_new_peer_request(self, now: float) -> bool:
+        """Return whether to request the table of a peer that was unknown or dead.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
         """
-        return self._claim_request(now, FIRST_REQUEST_INTERVAL_S)
+        return self._allow_request(now, NEW_PEER_REQUEST_INTERVAL_S)
 
-    def claim_notice(self, name: str, now: float) -> bool:
-        """Return whether an instance may be told again how it is regarded.
+    def allow_notice(self, name: str, now: float) -> bool:
+        """Return whether a peer may be sent its own record again.
 
         Parameters
         ----------
         name : str
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
         """
-        if now - self._noticed_at.get(name, float("-inf")) < NOTICE_INTERVAL_S:
+        if now - self._notified_at.get(name, float("-inf")) < NOTICE_INTERVAL_S:
             return False
-        self._noticed_at[name] = now
+        self._notified_at[name] = now
         return True
 
-    def forget(self, name: str) -> None:
-        """Drop what is kept about an instance.
+    def remove(self, name: str) -> None:
+        """Remove the state kept for an instance.
 
         Parameters
         ----------
         name : str
         """
         self._mismatched_at.pop(name, None)
-        self._noticed_at.pop(name, None)
+        self._notified_at.pop(name, None)
 
-    def _claim_request(self, now: float, interval_s: float) -> bool:
+    def _allow_request(self, now: float, interval_s: float) -> bool:
         if now - self._requested_at < interval_s:
             return False
         self._requested_at = now
--- a/packages/decisions/src/ebonyhaven_decisions/_rings.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_rings.py
@@ -1,4 +1,4 @@
-"""Which instances send heartbeats to which, from hash-ordered rings."""
+"""Heartbeat topology: targets of each instance on hash-ordered rings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from ebonyhaven_decisions._members import MemberRecord, MemberState
 
-NEIGHBOURS = 4
+NEIGHBOUR_COUNT = 4
 
 
 def _hash_position(ring: int, name: str) -> bytes:
@@ -15,36 +15,38 @@
 
 
 class Rings:
-    """Heartbeat targets of each instance.
+    """Heartbeat targets and sources of each instance.
 
-    Every instance has one target on each of ``neighbours`` rings, each ordered
-    by another hash of the names, so the targets form a random graph of constant
-    degree. On every second ring the target is in another data centre where one
-    exists, so that the loss of a data centre leaves watchers.
+    Every instance has one target on each of ``neighbour_count`` rings. Each ring is
+    ordered by a different hash of the names, so the targets form a random graph of
+    constant out-degree. On every second ring the target is in another data centre
+    if there is one, so that the loss of a data centre leaves its instances watched.
 
     Parameters
     ----------
     records : iterable of MemberRecord
-        Dead instances are left out.
-    neighbours : int
-        Count of targets of an instance.
+        Records of all instances; dead ones are ignored.
+    neighbour_count : int
+        Number of targets of an instance.
     """
 
     __slots__ = ("_sources", "_targets")
 
     def __init__(
-        self, records: Iterable[MemberRecord], *, neighbours: int = NEIGHBOURS
+        self, records: Iterable[MemberRecord], *, neighbour_count: int = NEIGHBOUR_COUNT
     ):
         members = [each for each in records if each.state != MemberState.DEAD]
         self._targets: dict[str, list[str]] = {each.name: [] for each in members}
         self._sources: dict[str, list[str]] = {each.name: [] for each in members}
-        several = len({each.data_centre for each in members}) > 1
-        for ring in range(neighbours):
+        spans_data_centres = len({each.data_centre for each in members}) > 1
+        for ring in range(neighbour_count):
             ordered = sorted(members, key=lambda m: _hash_position(ring, m.name))
-            self._add_ring(ordered, apart=several and ring % 2 == 1)
+            self._add_ring(
+                ordered, in_other_data_centre=spans_data_centres and ring % 2 == 1
+            )
 
     def targets(self, name: str) -> tuple[str, ...]:
-        """Return the instances that an instance sends its heartbeats to.
+        """Return the instances that get heartbeats from an instance.
 
         Parameters
         ----------
@@ -57,7 +59,7 @@
         return tuple(self._targets.get(name, ()))
 
     def sources(self, name: str) -> tuple[str, ...]:
-        """Return the instances whose heartbeats an instance expects.
+        """Return the instances that send heartbeats to an instance.
 
         Parameters
         ----------
@@ -69,17 +71,21 @@
         """
         return tuple(self._sources.get(name, ()))
 
-    def _add_ring(self, ordered: list[MemberRecord], *, apart: bool) -> None:
+    def _add_ring(
+        self, ordered: list[MemberRecord], *, in_other_data_centre: bool
+    ) -> None:
         for index, member in enumerate(ordered):
-            target = self._find_target(ordered, index, apart=apart)
-            if target is None and apart:
-                target = self._find_target(ordered, index, apart=False)
+            target = self._find_target(
+                ordered, index, in_other_data_centre=in_other_data_centre
+            )
+            if target is None and in_other_data_centre:
+                target = self._find_target(ordered, index, in_other_data_centre=False)
             if target is not None:
                 self._targets[member.name].append(target)
                 self._sources[target].append(member.name)
 
     def _find_target(
-        self, ordered: list[MemberRecord], index: int, *, apart: bool
+        self, ordered: list[MemberRecord], index: int, *, in_other_data_centre: bool
     ) -> str | None:
         member = ordered[index]
         chosen = self._targets[member.name]
@@ -87,6 +93,6 @@
             other = ordered[(index + step) % len(ordered)]
             if other.name in chosen:
                 continue
-            if not apart or other.data_centre != member.data_centre:
+            if not in_other_data_centre or other.data_centre != member.data_centre:
                 return other.name
         return None
--- a/packages/node/src/ebonyhaven_node/_crash_reports.py
+++ b/packages/node/src/ebonyhaven_node/_crash_reports.py
@@ -48,7 +48,7 @@
 
     def __init__(self, ledger: CrashLedger):
         self._ledger = ledger
-        self._table = GossipTable(lifetime_s=EVIDENCE_TTL_S)
+        self._table = GossipTable(ttl_s=EVIDENCE_TTL_S)
 
     def record_death(
         self, content: str, *, server: ServerProcess, progress_tokens: int
--- a/packages/node/src/ebonyhaven_node/_entry_lists.py
+++ b/packages/node/src/ebonyhaven_node/_entry_lists.py
@@ -79,12 +79,12 @@
             data_centre=own.data_centre,
             region=own.region,
             rng=self._rng,
-            settled=not unsettled,
+            is_stable=not unsettled,
         )
 
     def _list_candidates(self, now: float, load: float) -> list[EntryCandidate]:
         own_name = self._membership.own.name
-        excluded = self._membership.unheard | self._leaving
+        excluded = self._membership.unresponsive | self._leaving
         outdated = self._membership.is_outdated(now)
         return [
             EntryCandidate(
@@ -102,4 +102,4 @@
 
     def _find_load(self, name: str) -> float:
         report = self._membership.loads.get(name)
-        return report.tenths / 10 if report else 0.0
+        return report.load_tenths / 10 if report else 0.0
--- a/packages/node/src/ebonyhaven_node/_listing.py
+++ b/packages/node/src/ebonyhaven_node/_listing.py
@@ -13,9 +13,9 @@
     READ_INTERVAL_S,
     GossipEntry,
     Listing,
-    ListingDuty,
+    ListingReadSchedule,
     MemberState,
-    everybody_reads,
+    all_instances_read,
 )
 from ebonyhaven_store import InstanceListClient, ListedProcess, PlatformError
 from twisted.internet import task
@@ -88,7 +88,7 @@
         self._rng = rng
         self._clock = clock
         self._wall_clock = wall_clock
-        self._duty = ListingDuty(name=name, rng=rng)
+        self._duty = ListingReadSchedule(name=name, rng=rng)
         self._listing = Listing()
         self._inconsistent_rounds = 0
         self._reachable = True
@@ -165,7 +165,7 @@
             started_at=started_at,
             now=self._clock(),
             wall_s=self._wall_clock(),
-            shared=not everybody_reads(len(self._list_live())),
+            publish=not all_instances_read(len(self._list_live())),
         )
         if changed:
             self._membership.hasten()
@@ -175,7 +175,7 @@
         if entry.value is not None and entry.key:
             _decode_process(entry.key, entry.value)
         changed = self._listing.merge_entry(entry, self._clock())
-        self._servers.has_whole_list = self._listing.is_whole()
+        self._servers.has_whole_list = self._listing.is_complete()
         if changed and (self._apply_call is None or not self._apply_call.active()):
             self._apply_call = self._reactor.callLater(0, self._apply)
         return changed
@@ -187,7 +187,7 @@
         ]
         instances = tuple(item for item in processes if item.kind == "instance")
         self._servers.instances = instances
-        self._servers.has_whole_list = self._listing.is_whole()
+        self._servers.has_whole_list = self._listing.is_complete()
         self._membership.merge_list(instances)
         self._servers.merge_list(
             item for item in processes if item.kind == "backend_server"
--- a/packages/node/src/ebonyhaven_node/_membership.py
+++ b/packages/node/src/ebonyhaven_node/_membership.py
@@ -224,7 +224,7 @@
 
     def hasten(self) -> None:
         """Send heartbeats to all neighbours soon, as a digest has news."""
-        self._schedule_flush(everyone=True)
+        self._schedule_flush(all_targets=True)
 
     def choose_entries(self) -> EntryList:
         """Return the instances that a caller should use."""
@@ -263,7 +263,7 @@
         return heartbeat
 
     def _handle_changes(self, now: float) -> None:
-        for record in self._membership.take_changes():
+        for record in self._membership.pop_changes():
             self._entries.note_change()
             _log.info(
                 "instance_changed",
@@ -276,11 +276,11 @@
         if self._membership.superseded and not self._superseded:
             self._superseded = True
             _log.error("instance_superseded")
-        if self._membership.has_news:
+        if self._membership.has_pending_updates:
             self._schedule_flush()
 
-    def _schedule_flush(self, *, everyone: bool = False) -> None:
-        self._flush_everyone |= everyone
+    def _schedule_flush(self, *, all_targets: bool = False) -> None:
+        self._flush_everyone |= all_targets
         if self._flush_call is not None and self._flush_call.active():
             return
         earliest_s = self._flushed_at + FLUSH_INTERVAL_S - self._clock()
@@ -289,10 +289,10 @@
 
     def _flush(self) -> None:
         now = self._clock()
-        everyone, self._flush_everyone = self._flush_everyone, False
+        all_targets, self._flush_everyone = self._flush_everyone, False
         self._flushed_at = now
-        self._send_all(self._membership.flush(now, everyone=everyone))
-        if self._membership.has_news:
+        self._send_all(self._membership.flush(now, all_targets=all_targets))
+        if self._membership.has_pending_updates:
             self._schedule_flush()
 
     def _send_all(self, envelopes: Iterable[Envelope]) -> None:
@@ -307,4 +307,4 @@
             payload = encode_message(message)
         kind = KINDS[type(message)]
         frame = Frame(kind, self.own.name, self.own.incarnation, payload)
-        self._channels.send(envelope.address, frame, fresh=envelope.fresh)
+        self._channels.send(envelope.address, frame, fresh=envelope.new_connection)
--- a/packages/standins/src/ebonyhaven_standins/bench/membership.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/membership.py
@@ -13,7 +13,7 @@
 import time
 from collections.abc import Iterable
 
-from ebonyhaven_decisions import NEIGHBOURS
+from ebonyhaven_decisions import NEIGHBOUR_COUNT
 
 from ebonyhaven_standins.bench._fits import Fit, fit_line
 from ebonyhaven_standins.bench._membership_measures import (
@@ -49,7 +49,7 @@
     -------
     dict of str to list of Fit
     """
-    costs = [cost for cost in costs if cost["size"] > NEIGHBOURS]
+    costs = [cost for cost in costs if cost["size"] > NEIGHBOUR_COUNT]
     if len(costs) < 2:
         return {}
     sizes = [cost["size"] for cost in costs]
--- a/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
@@ -126,7 +126,7 @@
         else:
             envelopes = view.receive(*event, self.now)
         self.processor_s += time.thread_time() - started
-        if view.has_news:
+        if view.has_pending_updates:
             self._schedule_flush(name)
         for envelope in envelopes:
             self._send(view, envelope)
--- a/packages/standins/src/ebonyhaven_standins/slopes/_platform_reads.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_platform_reads.py
@@ -57,7 +57,7 @@
         started_at=NOW_S,
         now=NOW_S,
         wall_s=NOW_S,
-        shared=True,
+        publish=True,
     )
     if servers is not None:
         decoded = [_decode_process(*item) for item in listing.values().items()]
--- a/tests/decisions/membership_pump.py
+++ b/tests/decisions/membership_cluster.py
@@ -1,4 +1,4 @@
-"""Delivers messages between member views in memory, on a virtual clock."""
+"""Simulated cluster of membership views on a virtual clock."""
 
 from __future__ import annotations
 
@@ -29,8 +29,12 @@
     return record._replace(**changes)
 
 
-class Pump:
-    """Runs views of several instances; links and instances can be stopped."""
+class SimulatedCluster:
+    """Membership views of several instances that exchange messages in memory.
+
+    Messages are lost at the rate ``loss`` and on the links in ``cut_links``, pairs of
+    sender and receiver. Instances in ``stopped`` get neither ticks nor messages.
+    """
 
     def __init__(self, count: int, *, seed: int = 1, loss: float = 0.0):
         self.rng = random.Random(seed)
@@ -38,7 +42,7 @@
         self.loss = loss
         self.views: dict[str, Membership] = {}
         self.stopped: set[str] = set()
-        self.cut: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
         self.sent = 0
         self._events: list[tuple[float, int, str, tuple | None]] = []
         self._sequence = 0
@@ -65,21 +69,21 @@
         self.now = end
 
     def run_until(self, condition, limit_s: float) -> float:
-        started = self.now
+        started_at = self.now
         while not condition():
-            assert self.now - started < limit_s, "not reached in time"
+            assert self.now - started_at < limit_s, "not reached in time"
             self.run(0.05)
-        return self.now - started
+        return self.now - started_at
 
-    def states(self, subject: str) -> set[MemberState | None]:
-        found = set()
+    def list_states(self, subject: str) -> set[MemberState | None]:
+        states = set()
         for name, view in self.views.items():
             if name != subject and name not in self.stopped:
                 record = view.table.get(subject)
-                found.add(record.state if record else None)
-        return found
+                states.add(record.state if record else None)
+        return states
 
-    def is_settled(self) -> bool:
+    def has_converged(self) -> bool:
         running = [v for n, v in self.views.items() if n not in self.stopped]
         return all(
             sum(record.state == MemberState.LIVE for record in view.table)
@@ -98,7 +102,7 @@
         else:
             sender, incarnation, message = delivery
             envelopes = view.receive(sender, incarnation, message, self.now)
-        if view.has_news:
+        if view.has_pending_updates:
             envelopes = envelopes + view.flush(self.now)
         for envelope in envelopes:
             self._send(view, envelope)
@@ -106,7 +110,7 @@
     def _send(self, view: Membership, envelope: Envelope) -> None:
         self.sent += 1
         target = envelope.address.split(":")[0]
-        if (view.own.name, target) in self.cut or self.rng.random() < self.loss:
+        if (view.own.name, target) in self.cut_links or self.rng.random() < self.loss:
             return
         delivery = (view.own.name, view.own.incarnation, envelope.message)
         self._schedule(self.now + DELAY_S, target, delivery)
--- a/tests/decisions/test_entries.py
+++ b/tests/decisions/test_entries.py
@@ -14,24 +14,24 @@
 
 def choose(candidates, rng=None, **options):
     rng = rng or random.Random(RNG_SEED)
-    place = {"data_centre": "dc-a", "region": "r1"}
-    return choose_entries(candidates, rng=rng, **place, **options)
+    location = {"data_centre": "dc-a", "region": "r1"}
+    return choose_entries(candidates, rng=rng, **location, **options)
 
 
 def names_of(answer):
     return [entry.name for entry in answer.entries]
 
 
-def test_near_ones_first_and_a_far_one_last():
+def test_near_instances_come_first_and_a_remote_one_last():
     near = [make_candidate(f"a{i}") for i in range(6)]
-    far = [make_candidate("b1", data_centre="dc-b")]
-    names = names_of(choose(near + far))
+    remote = [make_candidate("b1", data_centre="dc-b")]
+    names = names_of(choose(near + remote))
     assert len(names) == 4
     assert names[-1] == "b1"
     assert all(name.startswith("a") for name in names[:-1])
 
 
-def test_overloaded_near_one_comes_after_a_far_one():
+def test_overloaded_near_instance_comes_after_remote_ones():
     candidates = [
         make_candidate("a1", load=0.95),
         make_candidate("b1", data_centre="dc-b"),
@@ -40,7 +40,7 @@
     assert names_of(choose(candidates)) == ["b1", "c1", "a1"]
 
 
-def test_callers_spread_over_equal_instances():
+def test_callers_are_spread_evenly_over_equal_instances():
     rng = random.Random(RNG_SEED)
     candidates = [make_candidate(f"a{i}") for i in range(6)]
     firsts = collections.Counter(
@@ -50,7 +50,7 @@
     assert min(firsts.values()) >= 0.85 * 1000
 
 
-def test_idle_instance_gets_more_but_not_all_callers():
+def test_idle_instance_gets_most_but_not_all_callers():
     rng = random.Random(RNG_SEED)
     candidates = [make_candidate("a0", load=0.0)]
     candidates += [make_candidate(f"a{i}", load=0.8) for i in range(1, 4)]
@@ -60,14 +60,14 @@
     assert 0.5 <= firsts["a0"] / 2000 <= 0.75
 
 
-def test_keep_time_is_short_after_a_change_and_varies():
+def test_keep_time_is_shorter_while_unstable_and_has_jitter():
     rng = random.Random(RNG_SEED)
     candidates = [make_candidate("a1")]
-    settled = {choose(candidates, rng).keep_s for _ in range(50)}
-    unsettled = {choose(candidates, rng, settled=False).keep_s for _ in range(50)}
-    assert max(unsettled) < min(settled)
-    assert len(settled) > 20
+    stable = {choose(candidates, rng).keep_s for _ in range(50)}
+    unstable = {choose(candidates, rng, is_stable=False).keep_s for _ in range(50)}
+    assert max(unstable) < min(stable)
+    assert len(stable) > 20
 
 
-def test_no_live_instance_gives_an_empty_answer():
+def test_no_candidates_give_an_empty_list():
     assert choose([]).entries == ()
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -4,9 +4,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.decisions.membership_pump import Pump, make_record
+from tests.decisions.membership_cluster import SimulatedCluster, make_record
 
-OUT_OF_LISTS_S = 3.0
+MAX_DETECTION_S = 3.0
 DOWN = {MemberState.SUSPECT, MemberState.DEAD}
 records = st.builds(
     MemberRecord,
@@ -31,7 +31,7 @@
 
 @settings(derandomize=True)
 @given(st.lists(records))
-def test_incarnation_of_a_record_never_goes_back(arrivals):
+def test_incarnation_of_a_record_never_decreases(arrivals):
     table = MemberTable()
     highest = -1
     for record in arrivals:
@@ -51,124 +51,126 @@
     assert table.digest == other.digest
 
 
-def settle(count: int, **options) -> Pump:
-    pump = Pump(count, **options)
-    pump.run_until(pump.is_settled, 30.0)
-    pump.run(3.0)
-    return pump
+def start_converged(count: int, **options) -> SimulatedCluster:
+    cluster = SimulatedCluster(count, **options)
+    cluster.run_until(cluster.has_converged, 30.0)
+    cluster.run(3.0)
+    return cluster
 
 
-def test_instances_that_start_together_find_each_other():
+def test_instances_started_together_converge():
     for count in (2, 3, 9, 40):
-        settle(count)
+        start_converged(count)
 
 
-def test_killed_instance_is_suspect_everywhere_within_the_bound():
+def test_killed_instance_is_suspected_by_all_others_in_time():
     for count in (3, 9, 40):
-        pump = settle(count)
-        pump.stopped.add("n1")
-        took_s = pump.run_until(lambda p=pump: p.states("n1") <= DOWN, 10.0)
-        assert took_s <= OUT_OF_LISTS_S, (count, took_s)
-
-
-def test_survivor_of_two_no_longer_hears_the_other():
-    pump = settle(2)
-    pump.stopped.add("n1")
-    pump.run(OUT_OF_LISTS_S)
-    assert pump.views["n0"].unheard == {"n1"}
-
-
-def test_instance_that_pauses_a_minute_returns_with_a_higher_incarnation():
-    pump = settle(9)
-    pump.stopped.add("n1")
-    pump.run(60.0)
-    assert pump.states("n1") == {MemberState.DEAD}
-    before = pump.views["n1"].own.incarnation
-    pump.stopped.discard("n1")
-    pump.run_until(lambda: pump.states("n1") == {MemberState.LIVE}, 3.0)
-    assert pump.views["n1"].own.incarnation > before
-    pump.run_until(pump.is_settled, 5.0)
-
-
-def test_view_counts_as_outdated_from_the_end_of_a_pause_until_it_caught_up():
-    pump = settle(9)
-    view = pump.views["n1"]
-    assert not view.is_outdated(pump.now)
-    pump.stopped.add("n1")
-    pump.run(10.0)
-    pump.stopped.add("n2")
-    pump.run(10.0)
-    assert view.is_outdated(pump.now)
+        cluster = start_converged(count)
+        cluster.stopped.add("n1")
+        detection_s = cluster.run_until(
+            lambda p=cluster: p.list_states("n1") <= DOWN, 10.0
+        )
+        assert detection_s <= MAX_DETECTION_S, (count, detection_s)
+
+
+def test_survivor_of_two_instances_reports_the_other_as_unresponsive():
+    cluster = start_converged(2)
+    cluster.stopped.add("n1")
+    cluster.run(MAX_DETECTION_S)
+    assert cluster.views["n0"].unresponsive == {"n1"}
+
+
+def test_instance_paused_for_a_minute_rejoins_with_a_higher_incarnation():
+    cluster = start_converged(9)
+    cluster.stopped.add("n1")
+    cluster.run(60.0)
+    assert cluster.list_states("n1") == {MemberState.DEAD}
+    before = cluster.views["n1"].own.incarnation
+    cluster.stopped.discard("n1")
+    cluster.run_until(lambda: cluster.list_states("n1") == {MemberState.LIVE}, 3.0)
+    assert cluster.views["n1"].own.incarnation > before
+    cluster.run_until(cluster.has_converged, 5.0)
+
+
+def test_view_is_outdated_after_a_pause_until_it_has_caught_up():
+    cluster = start_converged(9)
+    view = cluster.views["n1"]
+    assert not view.is_outdated(cluster.now)
+    cluster.stopped.add("n1")
+    cluster.run(10.0)
+    cluster.stopped.add("n2")
+    cluster.run(10.0)
+    assert view.is_outdated(cluster.now)
     assert view.table.get("n2").state == MemberState.LIVE
-    pump.stopped.discard("n1")
-    pump.run_until(lambda: not view.is_outdated(pump.now), 5.0)
+    cluster.stopped.discard("n1")
+    cluster.run_until(lambda: not view.is_outdated(cluster.now), 5.0)
     assert view.table.get("n2").state in DOWN
 
 
-def test_one_way_cut_between_two_instances_raises_no_suspicion():
-    pump = settle(9)
-    watcher = pump.views["n1"].targets[0]
-    pump.cut.add(("n1", watcher))
-    pump.run(20.0)
-    assert pump.states("n1") == {MemberState.LIVE}
-    assert pump.views[watcher].counts.indirect_signs > 0
+def test_one_way_link_failure_raises_no_suspicion():
+    cluster = start_converged(9)
+    watcher = cluster.views["n1"].targets[0]
+    cluster.cut_links.add(("n1", watcher))
+    cluster.run(20.0)
+    assert cluster.list_states("n1") == {MemberState.LIVE}
+    assert cluster.views[watcher].counts.indirect_signs > 0
 
 
-def test_instance_that_hears_nobody_suspects_nobody():
-    pump = settle(9)
-    pump.cut |= {(f"n{i}", "n1") for i in range(9)}
-    pump.run(20.0)
-    assert pump.views["n1"].counts.suspicions == 0
-    assert pump.views["n1"].unheard
+def test_isolated_instance_raises_no_suspicion():
+    cluster = start_converged(9)
+    cluster.cut_links |= {(f"n{i}", "n1") for i in range(9)}
+    cluster.run(20.0)
+    assert cluster.views["n1"].counts.suspicions == 0
+    assert cluster.views["n1"].unresponsive
     others = {f"n{i}" for i in range(9)} - {"n1"}
     for name in others:
-        assert pump.states(name) == {MemberState.LIVE}
+        assert cluster.list_states(name) == {MemberState.LIVE}
 
 
-def test_data_centre_that_is_cut_off_joins_again_after_the_cut():
-    pump = settle(9)
+def test_partitioned_data_centre_rejoins_after_the_partition():
+    cluster = start_converged(9)
     inside = {"n0", "n3", "n6"}
     outside = {f"n{i}" for i in range(9)} - inside
-    pump.cut = {(a, b) for a in inside for b in outside}
-    pump.cut |= {(b, a) for a, b in pump.cut}
-    pump.run(30.0)
-    assert pump.views["n0"].table.get("n1").state == MemberState.DEAD
-    assert pump.views["n1"].table.get("n0").state == MemberState.DEAD
-    assert pump.views["n0"].table.get("n3").state == MemberState.LIVE
-    pump.cut = set()
-    pump.run_until(pump.is_settled, 20.0)
-
-
-def test_restart_under_the_same_name_with_a_lower_incarnation_is_taken_in():
-    pump = settle(6)
-    pump.views["n1"].own = pump.views["n1"].own._replace(incarnation=9)
-    pump.stopped.add("n1")
-    pump.run(10.0)
-    pump.start("n1")
-    pump.run_until(pump.is_settled, 5.0)
-
-
-def test_older_process_of_a_name_steps_back():
-    pump = settle(3)
-    view = pump.views["n1"]
+    cluster.cut_links = {(a, b) for a in inside for b in outside}
+    cluster.cut_links |= {(b, a) for a, b in cluster.cut_links}
+    cluster.run(30.0)
+    assert cluster.views["n0"].table.get("n1").state == MemberState.DEAD
+    assert cluster.views["n1"].table.get("n0").state == MemberState.DEAD
+    assert cluster.views["n0"].table.get("n3").state == MemberState.LIVE
+    cluster.cut_links = set()
+    cluster.run_until(cluster.has_converged, 20.0)
+
+
+def test_restart_with_the_same_name_and_a_lower_incarnation_is_accepted():
+    cluster = start_converged(6)
+    cluster.views["n1"].own = cluster.views["n1"].own._replace(incarnation=9)
+    cluster.stopped.add("n1")
+    cluster.run(10.0)
+    cluster.start("n1")
+    cluster.run_until(cluster.has_converged, 5.0)
+
+
+def test_older_process_of_the_same_name_is_superseded():
+    cluster = start_converged(3)
+    view = cluster.views["n1"]
     newer = view.own._replace(incarnation=50, control_address="n1:9")
-    pump.views["n0"].table.merge(newer, pump.now)
-    pump.views["n2"].table.merge(newer, pump.now)
-    pump.run(5.0)
+    cluster.views["n0"].table.merge(newer, cluster.now)
+    cluster.views["n2"].table.merge(newer, cluster.now)
+    cluster.run(5.0)
     assert view.superseded
 
 
-def test_lost_messages_cause_no_deaths():
-    pump = settle(24, loss=0.01)
-    pump.run(120.0)
-    assert sum(view.counts.deaths for view in pump.views.values()) == 0
+def test_message_loss_causes_no_deaths():
+    cluster = start_converged(24, loss=0.01)
+    cluster.run(120.0)
+    assert sum(view.counts.deaths for view in cluster.views.values()) == 0
 
 
-def test_messages_of_an_instance_do_not_grow_with_the_size():
+def test_message_rate_of_an_instance_is_independent_of_cluster_size():
     rates = []
     for count in (12, 48):
-        pump = settle(count)
-        before = pump.sent
-        pump.run(20.0)
-        rates.append((pump.sent - before) / 20.0 / count)
+        cluster = start_converged(count)
+        before = cluster.sent
+        cluster.run(20.0)
+        rates.append((cluster.sent - before) / 20.0 / count)
     assert max(rates) <= 10.0, rates
--- a/tests/node/test_digests.py
+++ b/tests/node/test_digests.py
@@ -21,7 +21,7 @@
 
 
 def make_table_digest(code: str, count: int, **options) -> TableDigest:
-    table = GossipTable(lifetime_s=60.0)
+    table = GossipTable(ttl_s=60.0)
     for index in range(count):
         table.merge(GossipEntry(f"{code}{index}", 1, [index]), 0.0)
     return TableDigest(code=code, table=table, clock=lambda: 0.0, **options)
