--- a/packages/decisions/src/ebonyhaven_decisions/__init__.py
+++ b/packages/decisions/src/ebonyhaven_decisions/__init__.py
@@ -1,7 +1,7 @@
-"""Decision logic of ebonyhaven, free of input and output.
+"""Decision logic of ebonyhaven, without input and output.
 
-Clocks and random sources are passed in as arguments, so each decision can be
-read, tested and measured alone.
+Times and random sources are arguments, so each decision is deterministic and can
+be tested and benchmarked in isolation.
 """
 
 from __future__ import annotations
@@ -9,38 +9,34 @@
 from ebonyhaven_decisions import (
     exceptions,
 )
-from ebonyhaven_decisions._assembly import (
-    Scheduling,
-    build_scheduler,
-)
 from ebonyhaven_decisions._claims import (
     Claimant,
+    ClaimDecision,
     ClaimRow,
-    ClaimVerdict,
-    judge_claim,
+    build_continuation_claim,
+    evaluate_claim,
     may_dispatch,
-    raise_epoch,
 )
 from ebonyhaven_decisions._configuration import (
     ConfigurationView,
     PeerReport,
-    count_needed_reports,
+    compute_quorum_size,
     observe_peer,
     observe_table,
 )
 from ebonyhaven_decisions._configuration_entries import (
-    CURRENT_KEY,
-    HISTORY_PREFIX,
+    CONFIGURATION_HISTORY_PREFIX,
+    CURRENT_CONFIGURATION_KEY,
     MAX_ENTRY_BYTES,
-    Acceptance,
+    AcceptanceTransaction,
     ConfigurationEntry,
     CurrentEntry,
     RowCondition,
     RowWrite,
-    name_change_key,
-    name_history_key,
-    parse_entry,
-    propose_entry,
+    build_acceptance_transaction,
+    format_change_key,
+    format_history_key,
+    parse_configuration_entry,
 )
 from ebonyhaven_decisions._crashes import (
     EVIDENCE_TTL_S,
@@ -81,7 +77,7 @@
     choose_entries,
 )
 from ebonyhaven_decisions._event_ids import (
-    BEFORE_FIRST,
+    OFFSET_BEFORE_FIRST_TOKEN,
     EventId,
     parse_event_id,
 )
@@ -93,12 +89,12 @@
     LEASE_PREFIX,
     LeaseAction,
     LeaseRow,
-    LeaseTerms,
+    LeaseTiming,
     LeaseView,
+    build_lease_row,
+    build_release_row,
     confirm_lease,
-    decide_lease,
-    draft_release,
-    draft_row,
+    decide_lease_action,
     is_held,
     may_order,
     observe_lease,
@@ -191,6 +187,10 @@
     Scheduler,
     SchedulingDecisions,
 )
+from ebonyhaven_decisions._scheduler_factory import (
+    SchedulingAlgorithm,
+    build_scheduler,
+)
 from ebonyhaven_decisions._server_table import (
     ServerTable,
 )
@@ -218,12 +218,12 @@
 )
 
 __all__ = [
-    "Acceptance",
-    "BEFORE_FIRST",
-    "CURRENT_KEY",
+    "AcceptanceTransaction",
+    "OFFSET_BEFORE_FIRST_TOKEN",
+    "CURRENT_CONFIGURATION_KEY",
     "ServerChoice",
     "ClaimRow",
-    "ClaimVerdict",
+    "ClaimDecision",
     "Claimant",
     "ClassPolicy",
     "ClassTargets",
@@ -255,13 +255,13 @@
     "DetectionResult",
     "GossipEntry",
     "GossipTable",
-    "HISTORY_PREFIX",
+    "CONFIGURATION_HISTORY_PREFIX",
     "Heartbeat",
     "LEASE_PREFIX",
     "SubqueueKey",
     "LeaseAction",
     "LeaseRow",
-    "LeaseTerms",
+    "LeaseTiming",
     "LeaseView",
     "LeastConnectionsRouter",
     "Listing",
@@ -309,7 +309,7 @@
     "RowCondition",
     "RowWrite",
     "Scheduler",
-    "Scheduling",
+    "SchedulingAlgorithm",
     "ServerEntry",
     "ServerReport",
     "ServerState",
@@ -328,36 +328,36 @@
     "choose_entries",
     "compute_cost",
     "confirm_lease",
-    "count_needed_reports",
-    "decide_lease",
+    "compute_quorum_size",
+    "decide_lease_action",
     "derive_policies",
     "diff",
-    "draft_release",
-    "draft_row",
+    "build_release_row",
+    "build_lease_row",
     "all_instances_read",
     "exceptions",
     "has_free_slot",
     "is_order_applied",
     "is_held",
-    "judge_claim",
+    "evaluate_claim",
     "list_orders",
     "choose_readers",
     "may_dispatch",
     "may_order",
     "merge_load_digest",
     "merge_records",
-    "name_change_key",
-    "name_history_key",
+    "format_change_key",
+    "format_history_key",
     "observe_lease",
     "observe_peer",
     "observe_table",
     "parse_declaration",
-    "parse_entry",
+    "parse_configuration_entry",
     "parse_event_id",
     "parse_lease_row",
     "plan_resume",
-    "propose_entry",
+    "build_acceptance_transaction",
     "qualify_outcome",
-    "raise_epoch",
+    "build_continuation_claim",
     "update_placement",
 ]
--- a/packages/decisions/src/ebonyhaven_decisions/_claims.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_claims.py
@@ -1,12 +1,13 @@
-"""Claims: at most one fresh start for a request that must not be repeated.
-
-A claim is a row of the platform's table. It is inserted, and its insertion
-confirmed, before the request is dispatched. Only the instance incarnation that
-inserted a claim ever dispatches its fresh start, only while the request may wait
-to be started, and not after a pause of its process.
-There is no takeover of a fresh start: another instance attaches to the run or
-answers ``unknown``. A takeover exists for continuations alone; it raises the
-epoch of the row, which serves as fence.
+"""Claims: at-most-once dispatch of requests that are not repeatable.
+
+A claim is a row of the platform's table. Its insertion is confirmed before the
+request is dispatched. Only the incarnation that inserted a claim makes the first
+dispatch, only before the deadline to start the request, and only if its process
+was not paused since it sent the write.
+
+Another instance never takes over the first dispatch: it attaches to the run or
+answers ``unknown``. Only a continuation may take over a claim. It increments the
+epoch of the row, which is the fencing number of the new attempt.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 class ClaimRow(TypedDict):
     """Value of the row ``claims/RUN_ID``.
 
-    ``epoch`` counts from 1; it is raised by each continuation and is the fence
+    ``epoch`` starts at 1 and is incremented by each continuation. It is the fencing
     number of the attempt.
     """
 
@@ -33,8 +34,8 @@
     claimed_at_ms: int
 
 
-class ClaimVerdict(enum.Enum):
-    """What an instance may do with a request whose claim it has read."""
+class ClaimDecision(enum.Enum):
+    """What an instance does with a request whose claim it has read."""
 
     DISPATCH = "dispatch"
     ATTACH = "attach"
@@ -50,21 +51,21 @@
     instance : str
         Name of the instance.
     incarnation : int
-        Number that differs for each start of the process.
+        Number that is unique to each start of the process.
     """
 
     instance: str
     incarnation: int
 
 
-def judge_claim(
+def evaluate_claim(
     row: ClaimRow,
     *,
     claimant: Claimant,
     digest: str,
-    inserted_now: bool,
-) -> ClaimVerdict:
-    """Decide what follows from the claim that stands in the table.
+    inserted_by_submission: bool,
+) -> ClaimDecision:
+    """Decide whether to dispatch a request, given its claim in the table.
 
     Parameters
     ----------
@@ -73,62 +74,65 @@
     claimant : Claimant
         This process.
     digest : str
-        Digest of the request at hand.
-    inserted_now : bool
-        Whether the row was written by the very attempt at hand; a lost
-        confirmation counts once it is resolved by reading the row back.
+        Digest of the request that is being submitted.
+    inserted_by_submission : bool
+        Whether this submission of the request inserted the row. If the confirmation
+        was lost, the row that is read back shows it.
 
     Returns
     -------
-    ClaimVerdict
+    ClaimDecision
     """
     if row["digest"] != digest:
-        return ClaimVerdict.DIGEST_MISMATCH
-    owned = (row["owner"], row["incarnation"]) == (
+        return ClaimDecision.DIGEST_MISMATCH
+    is_owner = (row["owner"], row["incarnation"]) == (
         claimant.instance,
         claimant.incarnation,
     )
-    if inserted_now and owned and row["epoch"] == 1:
-        return ClaimVerdict.DISPATCH
-    return ClaimVerdict.ATTACH
+    if inserted_by_submission and is_owner and row["epoch"] == 1:
+        return ClaimDecision.DISPATCH
+    return ClaimDecision.ATTACH
 
 
 def may_dispatch(
-    *, write_sent_at: float, deadline: float, woke_at: float, now: float
+    *, write_sent_at: float, deadline: float, pause_ended_at: float, now: float
 ) -> bool:
-    """Tell whether a confirmed claim still allows the fresh start.
+    """Return whether a confirmed claim still allows the first dispatch.
 
     Parameters
     ----------
     write_sent_at : float
-        Monotonic time at which the claim's write was sent, seconds.
+        Monotonic time at which the write of the claim was sent, in seconds.
     deadline : float
-        Monotonic time until which the request may wait to be started, seconds.
-    woke_at : float
-        Monotonic time at which this process last woke from a pause, seconds.
+        Monotonic time until which the request may be started, in seconds.
+    pause_ended_at : float
+        Monotonic time at which the last pause of this process ended, in seconds;
+        negative infinity if there was none.
     now : float
-        Monotonic time immediately before the dispatch, seconds.
+        Monotonic time immediately before the dispatch, in seconds.
 
     Returns
     -------
     bool
-        False after a pause between claim and dispatch, when a caller may have
-        been told of the request elsewhere, and once the request is out of time.
+        False after the deadline, and after a pause between claim and dispatch: by
+        then another instance may have answered the caller.
     """
-    return now <= deadline and woke_at < write_sent_at
+    return now <= deadline and pause_ended_at < write_sent_at
 
 
-def raise_epoch(row: ClaimRow, *, claimant: Claimant, server: str) -> ClaimRow:
-    """Return the row for a continuation on another backend server.
+def build_continuation_claim(
+    row: ClaimRow, *, claimant: Claimant, server: str
+) -> ClaimRow:
+    """Return the claim row for a continuation on another backend server.
 
     Parameters
     ----------
     row : ClaimRow
-        The row as last read; the write is conditional on its version.
+        The row as last read; the write must be conditional on its version.
     claimant : Claimant
-        This process.
+        This process, the new owner.
     server : str
-        Backend server that continues the run.
+        Name of the backend server that continues the run.
 
     Returns
     -------
--- a/packages/decisions/src/ebonyhaven_decisions/_configuration.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_configuration.py
@@ -1,13 +1,15 @@
-"""Which version of the configuration an instance runs.
-
-An instance that runs a configuration only replaces it by a higher version. An
-instance that has just started runs what the table says. If the table is out, it
-needs reports from more than half of the listed instances and takes the highest
-version among them: a version that was in force on more than half of the
-instances is in any such set of reports. A starting instance reports nothing
-itself, so it cannot vouch for a version that it only heard of, and it counts
-only answers to questions of its own incarnation, since a message from before its
-start may be older than what it must not fall behind.
+"""Selection of the configuration version that an instance activates.
+
+An instance with an active configuration only replaces it by a higher version. A
+starting instance activates the version in the table. If the table is unavailable,
+it collects reports from a quorum, more than half of the listed instances, and
+activates the highest version among them. Any two majorities intersect, so a
+version that was active on more than half of the instances is among the reports.
+
+A starting instance has no active version to report, so versions that it only knows
+from peers do not count towards the quorum of another instance. It counts only
+answers to requests of its own incarnation: a message sent before it started may
+carry a version that is older than the one the majority has activated since.
 """
 
 from __future__ import annotations
@@ -22,20 +24,20 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ConfigurationView:
-    """What an instance runs and what it has heard of.
+    """Active configuration of an instance and what it knows of other versions.
 
     Parameters
     ----------
     incarnation : int
         Incarnation of this instance.
     entry : ConfigurationEntry or None
-        In force on this instance; None while it is starting.
+        Active configuration; None while the instance is starting.
     highest_version : int
-        Highest version heard of from anybody.
+        Highest version known from the table or any peer.
     reports : dict of str to int
-        While starting: version in force on each peer that has told.
+        While starting: active version by name of the peer that reported it.
     candidate : ConfigurationEntry or None
-        While starting: highest configuration received from a peer.
+        While starting: entry with the highest version received from a peer.
     """
 
     incarnation: int
@@ -46,39 +48,39 @@
 
     @property
     def version(self) -> int:
-        """Version in force, 0 while starting."""
+        """Active version; 0 while starting."""
         return self.entry.version if self.entry else 0
 
     @property
-    def wanted_version(self) -> int:
-        """Version whose content is worth asking for, 0 if none is known."""
-        held = self.candidate.version if self.candidate else 0
-        newest = max(self.version, held)
+    def version_to_fetch(self) -> int:
+        """Version to request from peers; 0 if this instance has the highest one."""
+        candidate_version = self.candidate.version if self.candidate else 0
+        newest = max(self.version, candidate_version)
         return self.highest_version if self.highest_version > newest else 0
 
 
 class PeerReport(NamedTuple):
-    """What a peer tells about its configuration.
+    """Versions that a peer reports.
 
     Parameters
     ----------
     peer : str
-        Name of the instance that tells.
+        Name of the reporting instance.
     version : int
-        Version in force there, 0 while it is starting.
+        Active version of the peer; 0 while it is starting.
     highest_version : int
-        Highest version it has heard of.
+        Highest version that the peer knows.
     entry : ConfigurationEntry or None
-        Content of ``version``, if it was sent along.
-    answers : int
-        Incarnation of the instance whose question this answers, else 0.
+        Content of ``version``, if the report includes it.
+    in_reply_to : int
+        Incarnation in the request that this report answers; 0 if unsolicited.
     """
 
     peer: str
     version: int
     highest_version: int
     entry: ConfigurationEntry | None
-    answers: int = 0
+    in_reply_to: int = 0
 
 
 def observe_table(
@@ -86,43 +88,44 @@
 ) -> ConfigurationView:
     """Return the view after the current row was read from the table.
 
-    A read that is older than what the instance runs or knows to be in force
-    elsewhere changes nothing; the next read brings the newer version.
+    A stale read activates nothing. It is stale if its version is not above the
+    active one or, on a starting instance, below the highest known one. A later read
+    returns the newer version.
     """
     highest = max(view.highest_version, entry.version)
-    known = attrs.evolve(view, highest_version=highest)
-    lowest_new = max(view.version + 1, 0 if view.entry else view.highest_version)
-    if entry.version < lowest_new:
-        return known
-    return _put_in_force(known, entry)
+    updated = attrs.evolve(view, highest_version=highest)
+    lowest_accepted = max(view.version + 1, 0 if view.entry else view.highest_version)
+    if entry.version < lowest_accepted:
+        return updated
+    return _activate_entry(updated, entry)
 
 
 def observe_peer(
     view: ConfigurationView, report: PeerReport, *, listed_instances: int
 ) -> ConfigurationView:
-    """Return the view after a peer told what it runs.
+    """Return the view after a report of a peer was received.
 
     Parameters
     ----------
     view : ConfigurationView
-        The view before.
+        The previous view.
     report : PeerReport
-        What the peer told.
+        The received report.
     listed_instances : int
-        Number of instances that are listed, this one included; 0 if the list
-        is not known whole, in which case no instance starts from its peers.
+        Number of listed instances, including this one; 0 if the list is incomplete.
+        Then a starting instance activates nothing from its peers.
     """
     highest = max(view.highest_version, report.version, report.highest_version)
-    known = attrs.evolve(view, highest_version=highest)
+    updated = attrs.evolve(view, highest_version=highest)
     if view.entry is not None:
         if report.entry is None or report.entry.version <= view.entry.version:
-            return known
-        return _put_in_force(known, report.entry)
-    return _collect_report(known, report, listed_instances)
+            return updated
+        return _activate_entry(updated, report.entry)
+    return _collect_report(updated, report, listed_instances)
 
 
-def count_needed_reports(listed_instances: int) -> int:
-    """Return how many peers must report to an instance that starts without a table."""
+def compute_quorum_size(listed_instances: int) -> int:
+    """Return the number of peer reports required to start without the table."""
     return listed_instances // 2 + 1
 
 
@@ -137,17 +140,17 @@
     ):
         candidate = report.entry
     reports = dict(view.reports)
-    if report.answers == view.incarnation:
+    if report.in_reply_to == view.incarnation:
         reports[report.peer] = report.version
-    known = attrs.evolve(view, reports=reports, candidate=candidate)
-    if not listed_instances or len(reports) < count_needed_reports(listed_instances):
-        return known
-    if candidate is None or candidate.version < known.highest_version:
-        return known
-    return _put_in_force(known, candidate)
+    updated = attrs.evolve(view, reports=reports, candidate=candidate)
+    if not listed_instances or len(reports) < compute_quorum_size(listed_instances):
+        return updated
+    if candidate is None or candidate.version < updated.highest_version:
+        return updated
+    return _activate_entry(updated, candidate)
 
 
-def _put_in_force(
+def _activate_entry(
     view: ConfigurationView, entry: ConfigurationEntry
 ) -> ConfigurationView:
     return attrs.evolve(view, entry=entry, reports={}, candidate=None)
--- a/packages/decisions/src/ebonyhaven_decisions/_configuration_entries.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_configuration_entries.py
@@ -1,7 +1,7 @@
-"""Accepted configurations and the rows that keep them.
+"""Accepted configurations and the table rows that store them.
 
-A version is accepted by one conditional transaction on the platform's table, so
-versions only grow.
+Each version is accepted by one conditional transaction on the platform's table, so
+the version numbers increase strictly.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 import attrs
 
-CURRENT_KEY = "configuration/current"
-HISTORY_PREFIX = "configuration/history/"
-CHANGE_PREFIX = "configuration/changes/"
+CURRENT_CONFIGURATION_KEY = "configuration/current"
+CONFIGURATION_HISTORY_PREFIX = "configuration/history/"
+CONFIGURATION_CHANGE_PREFIX = "configuration/changes/"
 MAX_ENTRY_BYTES = 60 * 1024
 DEFLATE_LEVEL = 9
 
@@ -28,13 +28,13 @@
     Parameters
     ----------
     version : int
-        1 for the first, one more for each accepted change.
+        1 for the first configuration, incremented by each accepted change.
     change_id : str
-        Chosen by the operator's tool; makes repeating a write safe.
+        Id of the change, chosen by the operator's tool; makes the write idempotent.
     author : str
-        Who made the change.
+        Name of the operator who made the change.
     accepted_at : float
-        Seconds since the epoch by the clock of the operator's tool.
+        Unix time in seconds, by the clock of the operator's tool.
     declaration : dict
         The declaration as JSON values.
     """
@@ -48,7 +48,7 @@
     def serialize(self) -> dict[str, Any]:
         """Return the entry as the JSON value of a row.
 
-        A declaration that is too long for a row is deflated.
+        A declaration that is too long for a row is compressed with deflate.
         """
         text = json.dumps(self.declaration, separators=(",", ":"))
         entry: dict[str, Any] = {
@@ -63,13 +63,13 @@
         return {**entry, "declaration_deflated": deflated.decode()}
 
 
-def parse_entry(value: Mapping[str, Any]) -> ConfigurationEntry:
-    """Return the entry that a row or message holds.
+def parse_configuration_entry(value: Mapping[str, Any]) -> ConfigurationEntry:
+    """Parse the entry in a row or message.
 
     Raises
     ------
     ValueError
-        If the value is no entry.
+        If the value is not a configuration entry.
     """
     try:
         return ConfigurationEntry(
@@ -80,7 +80,7 @@
             declaration=_read_declaration(value),
         )
     except (KeyError, TypeError, zlib.error) as error:
-        raise ValueError(f"no configuration entry: {error!r}") from error
+        raise ValueError(f"malformed configuration entry: {error!r}") from error
 
 
 def _read_declaration(value: Mapping[str, Any]) -> Mapping[str, Any]:
@@ -90,25 +90,25 @@
     return json.loads(zlib.decompress(base64.b64decode(deflated)))
 
 
-def name_history_key(version: int) -> str:
-    """Return the key of the row that keeps a version for good."""
-    return f"{HISTORY_PREFIX}{version:08d}"
+def format_history_key(version: int) -> str:
+    """Return the key of the row that stores a version permanently."""
+    return f"{CONFIGURATION_HISTORY_PREFIX}{version:08d}"
 
 
-def name_change_key(change_id: str) -> str:
-    """Return the key of the row that says which version a change became."""
-    return f"{CHANGE_PREFIX}{change_id}"
+def format_change_key(change_id: str) -> str:
+    """Return the key of the row that stores the version of an accepted change."""
+    return f"{CONFIGURATION_CHANGE_PREFIX}{change_id}"
 
 
 class CurrentEntry(NamedTuple):
-    """The current row as read.
+    """The row of the current configuration as read from the table.
 
     Parameters
     ----------
     entry : ConfigurationEntry or None
-        None before the first acceptance.
+        None before the first configuration is accepted.
     row_version : int
-        Version of the row in the table, 0 if it is absent.
+        Version of the row in the table; 0 if it is absent.
     """
 
     entry: ConfigurationEntry | None
@@ -116,33 +116,34 @@
 
     @property
     def version(self) -> int:
-        """Version of the configuration, 0 before the first."""
+        """Version of the configuration; 0 before the first."""
         return self.entry.version if self.entry else 0
 
 
 class RowCondition(NamedTuple):
-    """Version that a row must have for an acceptance."""
+    """Version that a row must have for the transaction to succeed; 0 if absent."""
 
     key: str
     version: int
 
 
 class RowWrite(NamedTuple):
-    """Row that an acceptance writes."""
+    """Row that the transaction writes."""
 
     key: str
     value: Any
 
 
-class Acceptance(NamedTuple):
-    """Conditions and writes that accept a configuration.
+class AcceptanceTransaction(NamedTuple):
+    """Conditions and writes of the transaction that accepts a configuration.
 
     Parameters
     ----------
     entry : ConfigurationEntry
-        What is accepted.
+        The configuration to accept.
     conditions : tuple of RowCondition
-        They hold only if nothing was accepted since the current row was read.
+        Satisfied only if no configuration was accepted since the current row was
+        read, and if the change id is unused.
     writes : tuple of RowWrite
         The current row, the history row and the row of the change id.
     """
@@ -152,14 +153,14 @@
     writes: tuple[RowWrite, ...]
 
 
-def propose_entry(
+def build_acceptance_transaction(
     current: CurrentEntry,
     *,
     change_id: str,
     author: str,
     now: float,
     declaration: Mapping[str, Any],
-) -> Acceptance:
+) -> AcceptanceTransaction:
     """Return the transaction that accepts a declaration on top of ``current``.
 
     Parameters
@@ -167,13 +168,13 @@
     current : CurrentEntry
         The row that the change is based on.
     change_id : str
-        Name of the change; a second acceptance of it fails.
+        Id of the change; accepting the same id a second time fails.
     author : str
-        Who makes the change.
+        Name of the operator who makes the change.
     now : float
-        Seconds since the epoch.
+        Unix time in seconds.
     declaration : dict
-        Checked declaration as JSON values.
+        Validated declaration as JSON values.
     """
     entry = ConfigurationEntry(
         version=current.version + 1,
@@ -182,17 +183,17 @@
         accepted_at=now,
         declaration=declaration,
     )
-    history_key = name_history_key(entry.version)
-    change_key = name_change_key(change_id)
-    return Acceptance(
+    history_key = format_history_key(entry.version)
+    change_key = format_change_key(change_id)
+    return AcceptanceTransaction(
         entry=entry,
         conditions=(
-            RowCondition(CURRENT_KEY, current.row_version),
+            RowCondition(CURRENT_CONFIGURATION_KEY, current.row_version),
             RowCondition(history_key, 0),
             RowCondition(change_key, 0),
         ),
         writes=(
-            RowWrite(CURRENT_KEY, entry.serialize()),
+            RowWrite(CURRENT_CONFIGURATION_KEY, entry.serialize()),
             RowWrite(history_key, entry.serialize()),
             RowWrite(change_key, {"version": entry.version}),
         ),
--- a/packages/decisions/src/ebonyhaven_decisions/_declaration_checks.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_declaration_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a declaration; each error names the path and the value."""
+"""Validation of declarations; each problem states the path and the value."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class DeclarationProblem(NamedTuple):
-    """One fault of a declaration.
+    """One invalid value in a declaration.
 
     Parameters
     ----------
     path : str
-        Dotted path of the faulty value; empty for the whole document.
+        Dotted path of the invalid value; empty for the whole document.
     reason : str
-        What was expected and what was found.
+        The expected value and the actual one.
     """
 
     path: str
@@ -46,12 +46,12 @@
 
 
 class DeclarationError(ValueError):
-    """Raised for a declaration that cannot be accepted.
+    """Raised for an invalid declaration.
 
     Parameters
     ----------
     problems : tuple of DeclarationProblem
-        All faults found, in the order of the document.
+        All problems, in the order of the checks.
     """
 
     def __init__(self, problems: tuple[DeclarationProblem, ...]):
@@ -60,12 +60,12 @@
 
 
 def parse_declaration(document: Any) -> Declaration:
-    """Check a declaration and return it typed.
+    """Validate a declaration and convert it to typed objects.
 
     Parameters
     ----------
     document : object
-        JSON values as read from the operator's file.
+        The declaration as JSON values.
 
     Returns
     -------
@@ -74,17 +74,17 @@
     Raises
     ------
     DeclarationError
-        With every fault that was found.
+        If the declaration is invalid; lists all problems.
     """
     problems: list[DeclarationProblem] = []
     root = _Section("", document, problems)
     declaration = Declaration(
-        classes=root.take_items("classes", _parse_class),
-        models=root.take_items("models", _parse_model),
-        pools=root.take_items("pools", _parse_pool),
-        workspaces=root.take_items("workspaces", _parse_workspace),
+        classes=root.read_items("classes", _parse_class),
+        models=root.read_items("models", _parse_model),
+        pools=root.read_items("pools", _parse_pool),
+        workspaces=root.read_items("workspaces", _parse_workspace),
     )
-    root.refuse_unknown()
+    root.report_unknown_keys()
     _check_references(declaration, problems)
     if problems:
         raise DeclarationError(tuple(problems))
@@ -92,87 +92,93 @@
 
 
 class _Section:
-    """Takes the expected keys out of one JSON object and notes faults."""
+    """Reads the expected keys of one JSON object and records problems."""
 
     def __init__(self, path: str, document: Any, problems: list[DeclarationProblem]):
         self.path = path
         self._problems = problems
-        self._left: dict[str, Any] = {}
+        self._unread: dict[str, Any] = {}
         if isinstance(document, Mapping):
-            self._left = dict(document)
-            self._readable = True
+            self._unread = dict(document)
+            self._is_object = True
         else:
-            self._readable = False
-            self.report(path, "an object", document)
+            self._is_object = False
+            self.add_problem(path, "an object", document)
 
-    def report(self, path: str, expected: str, value: Any) -> None:
+    def add_problem(self, path: str, expected: str, value: Any) -> None:
         shown = json.dumps(value)
         if len(shown) > MAX_VALUE_CHARACTERS:
             shown = f"{shown[:MAX_VALUE_CHARACTERS]}…"
         reason = f"expected {expected}, got {shown}"
         self._problems.append(DeclarationProblem(path, reason))
 
-    def join(self, name: str) -> str:
+    def join_path(self, name: str) -> str:
         return f"{self.path}.{name}" if self.path else name
 
-    def take(
+    def read(
         self, name: str, expected: str, check: Callable[[Any], bool], default: Any
     ) -> Any:
-        if name not in self._left:
-            if default is REQUIRED and self._readable:
+        if name not in self._unread:
+            if default is REQUIRED and self._is_object:
                 reason = f"missing, expected {expected}"
-                self._problems.append(DeclarationProblem(self.join(name), reason))
+                self._problems.append(DeclarationProblem(self.join_path(name), reason))
             return None if default is REQUIRED else default
-        value = self._left.pop(name)
+        value = self._unread.pop(name)
         if check(value):
             return value
-        self.report(self.join(name), expected, value)
+        self.add_problem(self.join_path(name), expected, value)
         return None if default is REQUIRED else default
 
-    def take_number(self, name: str, default: Any = REQUIRED) -> float:
-        return self.take(name, "a number above 0", _is_positive, default)
+    def read_positive_number(self, name: str, default: Any = REQUIRED) -> float:
+        return self.read(name, "a number above 0", _is_positive_number, default)
 
-    def take_duration(self, name: str, default: Any = REQUIRED) -> float:
-        return self.take(name, "a number of at least 0", _is_duration, default)
+    def read_nonnegative_number(self, name: str, default: Any = REQUIRED) -> float:
+        return self.read(
+            name, "a number of at least 0", _is_nonnegative_number, default
+        )
 
-    def take_count(self, name: str, default: Any = REQUIRED) -> int:
-        return self.take(name, "a whole number of at least 0", _is_count, default)
+    def read_count(self, name: str, default: Any = REQUIRED) -> int:
+        return self.read(name, "a whole number of at least 0", _is_count, default)
 
-    def take_flag(self, name: str, default: Any = REQUIRED) -> bool:
-        return self.take(name, "true or false", _is_flag, default)
+    def read_boolean(self, name: str, default: Any = REQUIRED) -> bool:
+        return self.read(name, "true or false", _is_boolean, default)
 
-    def take_names(self, name: str, default: Any = REQUIRED) -> tuple[str, ...]:
-        names = self.take(name, "a list of distinct names", _is_name_list, default)
+    def read_names(self, name: str, default: Any = REQUIRED) -> tuple[str, ...]:
+        names = self.read(name, "a list of distinct names", _is_name_list, default)
         return tuple(names or ())
 
-    def take_items(
+    def read_items(
         self, name: str, parse: Callable[[str, _Section], T]
     ) -> dict[str, T]:
-        if name not in self._left:
-            if self._readable:
+        if name not in self._unread:
+            if self._is_object:
                 reason = "missing, expected an object"
-                self._problems.append(DeclarationProblem(self.join(name), reason))
+                self._problems.append(DeclarationProblem(self.join_path(name), reason))
             return {}
-        items = _Section(self.join(name), self._left.pop(name), self._problems)
+        items = _Section(self.join_path(name), self._unread.pop(name), self._problems)
         parsed = {}
-        for key, value in items._left.items():
+        for key, value in items._unread.items():
             if not _is_name(key):
-                items.report(items.join(key), "a name of 1 to 64 characters", key)
-            section = _Section(items.join(key), value, self._problems)
+                items.add_problem(
+                    items.join_path(key), "a name of 1 to 64 characters", key
+                )
+            section = _Section(items.join_path(key), value, self._problems)
             parsed[key] = parse(key, section)
-            section.refuse_unknown()
+            section.report_unknown_keys()
         return parsed
 
-    def refuse_unknown(self) -> None:
-        for name in self._left:
-            self._problems.append(DeclarationProblem(self.join(name), "unknown key"))
+    def report_unknown_keys(self) -> None:
+        for name in self._unread:
+            self._problems.append(
+                DeclarationProblem(self.join_path(name), "unknown key")
+            )
 
 
-def _is_duration(value: Any) -> bool:
-    return value == 0 and not isinstance(value, bool) or _is_positive(value)
+def _is_nonnegative_number(value: Any) -> bool:
+    return value == 0 and not isinstance(value, bool) or _is_positive_number(value)
 
 
-def _is_positive(value: Any) -> bool:
+def _is_positive_number(value: Any) -> bool:
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     return is_number and 0 < value < float("inf")
 
@@ -181,7 +187,7 @@
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
-def _is_flag(value: Any) -> bool:
+def _is_boolean(value: Any) -> bool:
     return isinstance(value, bool)
 
 
@@ -206,45 +212,51 @@
 def _parse_class(name: str, section: _Section) -> RequestClass:
     return RequestClass(
         name=name,
-        first_token_ms=section.take_number("first_token_ms"),
-        gap_ms=section.take_number("gap_ms"),
-        resume_ms=section.take_number("resume_ms"),
-        may_wait_ms=section.take_duration("may_wait_ms", DEFAULT_MAY_WAIT_MS),
-        default=section.take_flag("default", False),
+        first_token_ms=section.read_positive_number("first_token_ms"),
+        gap_ms=section.read_positive_number("gap_ms"),
+        resume_ms=section.read_positive_number("resume_ms"),
+        may_wait_ms=section.read_nonnegative_number("may_wait_ms", DEFAULT_MAY_WAIT_MS),
+        default=section.read_boolean("default", False),
     )
 
 
 def _parse_model(name: str, section: _Section) -> Model:
     return Model(
         name=name,
-        adapters=section.take_names("adapters", ()),
-        versions=section.take_names("versions", ()),
+        adapters=section.read_names("adapters", ()),
+        versions=section.read_names("versions", ()),
     )
 
 
 def _parse_pool(name: str, section: _Section) -> Pool:
     expected = 'one of "engine", "service"'
-    kind = section.take("kind", expected, _is_pool_kind, REQUIRED)
+    kind = section.read("kind", expected, _is_pool_kind, REQUIRED)
     pool = Pool(
         name=name,
         kind=PoolKind(kind or "engine"),
-        models=section.take_names("models", ()),
-        service=section.take("service", "a name", _is_name_or_empty, ""),
-        checks_fence=section.take_flag("checks_fence"),
-        longest_pause_ms=section.take_number(
+        models=section.read_names("models", ()),
+        service=section.read("service", "a name", _is_name_or_empty, ""),
+        checks_fence=section.read_boolean("checks_fence"),
+        longest_pause_ms=section.read_positive_number(
             "longest_pause_ms", DEFAULT_LONGEST_PAUSE_MS
         ),
-        minimum_servers=section.take_count("minimum_servers", DEFAULT_MINIMUM_SERVERS),
+        minimum_servers=section.read_count("minimum_servers", DEFAULT_MINIMUM_SERVERS),
     )
     if kind == "engine" and not pool.models:
-        section.report(section.join("models"), "at least one model", [])
+        section.add_problem(section.join_path("models"), "at least one model", [])
     if kind == "engine" and pool.service:
-        section.report(section.join("service"), "no service of engines", pool.service)
+        section.add_problem(
+            section.join_path("service"),
+            "no service in a pool of engines",
+            pool.service,
+        )
     if kind == "service" and not pool.service:
-        section.report(section.join("service"), "a name", pool.service)
+        section.add_problem(section.join_path("service"), "a name", pool.service)
     if kind == "service" and pool.models:
-        section.report(
-            section.join("models"), "no models of a service", list(pool.models)
+        section.add_problem(
+            section.join_path("models"),
+            "no models in a pool of a service",
+            list(pool.models),
         )
     return pool
 
@@ -255,7 +267,7 @@
 
 def _parse_workspace(name: str, section: _Section) -> Workspace:
     expected = "64 hex digits"
-    digest = section.take("key_sha256", expected, _is_digest_or_empty, "")
+    digest = section.read("key_sha256", expected, _is_digest_or_empty, "")
     return Workspace(name=name, key_sha256=digest)
 
 
@@ -268,7 +280,7 @@
 ) -> None:
     defaults = [name for name, item in declaration.classes.items() if item.default]
     for name in defaults[1:]:
-        reason = f"expected one default class, {defaults[0]} is one already"
+        reason = f"expected one default class, {defaults[0]} is already the default"
         problems.append(DeclarationProblem(f"classes.{name}.default", reason))
     for pool in declaration.pools.values():
         for model in pool.models:
--- a/packages/decisions/src/ebonyhaven_decisions/_declarations.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_declarations.py
@@ -1,4 +1,4 @@
-"""What operators declare: classes, models, pools and workspaces."""
+"""Declarations of operators: classes, models, pools and workspaces."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PoolKind(enum.StrEnum):
-    """What the backend servers of a pool are."""
+    """Kind of the backend servers in a pool."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -23,7 +23,7 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class RequestClass:
-    """A class of work with its targets.
+    """A class of requests and its latency targets.
 
     Parameters
     ----------
@@ -34,11 +34,12 @@
     gap_ms : float
         Target for the time between two tokens, in milliseconds.
     resume_ms : float
-        Target for resume latency, in milliseconds.
+        Target for the pause of a stream from the loss of its backend server until
+        the first token from another one, in milliseconds.
     may_wait_ms : float
         Longest time that a request may be queued, in milliseconds.
     default : bool
-        Whether requests that name no class belong to this one.
+        Whether requests without a class belong to this one.
     """
 
     name: str
@@ -51,7 +52,7 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class Model:
-    """A model with its adapters and versions, by name."""
+    """A model and the names of its adapters and versions."""
 
     name: str
     adapters: tuple[str, ...] = ()
@@ -67,18 +68,19 @@
     name : str
         Name of the pool.
     kind : PoolKind
-        Engines or plain services.
+        Whether the servers are model engines or plain services.
     models : tuple of str
-        Models that engines of the pool may hold.
+        Names of the models that the engines of the pool may load.
     service : str
         Name of the plain service; empty for engines.
     checks_fence : bool
-        Whether the backend servers refuse orders with an old fencing number.
+        Whether the backend servers reject orders with a stale fencing number.
     longest_pause_ms : float
-        Longest pause of a lease holder that a takeover waits out where the
-        servers ignore fencing numbers, in milliseconds.
+        Longest pause of a lease holder, in milliseconds. If the servers ignore
+        fencing numbers, a new holder waits this long before its first order.
     minimum_servers : int
-        Servers that must hold each model in each data centre of the pool.
+        Minimum number of servers with each model loaded, in each data centre of the
+        pool.
     """
 
     name: str
@@ -92,7 +94,15 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class Workspace:
-    """A workspace; ``key_sha256`` is the hex digest of its key, or empty."""
+    """A workspace.
+
+    Parameters
+    ----------
+    name : str
+        Name of the workspace.
+    key_sha256 : str
+        Hexadecimal SHA-256 digest of the workspace key; empty if it has no key.
+    """
 
     name: str
     key_sha256: str = ""
@@ -100,7 +110,7 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class Declaration:
-    """Everything that operators state, by name."""
+    """Complete declaration of an operator; each mapping is keyed by name."""
 
     classes: Mapping[str, RequestClass]
     models: Mapping[str, Model]
@@ -109,14 +119,14 @@
 
     @property
     def default_class(self) -> RequestClass | None:
-        """Class of requests that name none, if one is marked."""
+        """Class of requests that specify none; None if there is no default."""
         for item in self.classes.values():
             if item.default:
                 return item
         return None
 
     def serialize(self) -> dict[str, Any]:
-        """Return the declaration as JSON values, with all defaults filled in."""
+        """Return the declaration as JSON values, including all defaults."""
         return {
             "classes": _serialize_items(self.classes),
             "models": _serialize_items(self.models),
@@ -133,7 +143,7 @@
     path : str
         Dotted path of the value.
     before, after : object
-        JSON values; None where the path is absent.
+        JSON values; None if the path is absent.
     """
 
     path: str
@@ -149,13 +159,12 @@
 
 
 def diff(before: Declaration, after: Declaration) -> tuple[DeclarationChange, ...]:
-    """Return the differences between two declarations, by path.
+    """Return the differences between two declarations, sorted by path.
 
     Parameters
     ----------
     before, after : Declaration
-        The declarations to compare; defaults that are left out and the same
-        values written out are equal.
+        The declarations to compare. An omitted value equals its explicit default.
     """
     return tuple(_diff_values("", before.serialize(), after.serialize()))
 
--- a/packages/decisions/src/ebonyhaven_decisions/_event_ids.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_event_ids.py
@@ -1,7 +1,7 @@
-"""Event ids: the position of a token in a generation, and who made it.
+"""Event ids: position of a token in a generation and the server that produced it.
 
-The id of the last received event is all that a caller has to return for a run
-to be found again. No instance keeps anything for it.
+A caller resumes a stream by returning the id of the last event that it received.
+The id identifies the run and the position, so instances keep no state per caller.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 MAX_EVENT_ID_LENGTH = 96
 MAX_OFFSET = 2**31
-BEFORE_FIRST = -1
+OFFSET_BEFORE_FIRST_TOKEN = -1
 _PATTERN = re.compile(r"(-1|\d{1,10})-([0-9a-f]{8})-([A-Za-z0-9][A-Za-z0-9._-]{0,63})")
 
 
@@ -23,12 +23,12 @@
     Parameters
     ----------
     offset : int
-        Number of the token, counted from 0; `BEFORE_FIRST` for the position
-        before the first token of a run that an engine has accepted.
+        Index of the token, from 0; `OFFSET_BEFORE_FIRST_TOKEN` for a run that an
+        engine has accepted but that has produced no token yet.
     generation : str
-        Eight hexadecimal digits, kept by every continuation of a run.
+        Eight hexadecimal digits, the same for all continuations of a run.
     server : str
-        Name of the backend server that made the token.
+        Name of the backend server that produced the token.
     """
 
     offset: int
@@ -54,7 +54,7 @@
     Raises
     ------
     MalformedEventId
-        If no node can have sent this id.
+        If the text is no valid event id.
     """
     if len(text) > MAX_EVENT_ID_LENGTH:
         raise MalformedEventId(
--- a/packages/decisions/src/ebonyhaven_decisions/_leases.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_leases.py
@@ -1,10 +1,10 @@
-"""Leases that live in one row of the platform's table.
+"""Leases, each stored in one row of the platform's table.
 
-No two clocks are compared. The holder counts its lease from the moment before
-it sent the write, on its own monotonic clock. Another instance may take over
-once it has seen the same row version for the whole duration on its own clock:
-the write it first saw was sent before that, so the holder's lease ended before.
-Both sides allow for clocks that run at slightly different rates.
+Clocks of different instances are never compared. The holder measures its lease on
+its monotonic clock, from just before it sent the write. Another instance may take
+over after it has seen the same row version for the whole duration on its monotonic
+clock: that write was sent before it was first seen, so the lease of its holder has
+expired by then. Both sides allow for clock drift.
 """
 
 from __future__ import annotations
@@ -19,50 +19,51 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class LeaseTerms:
+class LeaseTiming:
     """Durations of a lease in seconds.
 
     Parameters
     ----------
     duration_s : float
-        How long a write keeps the lease.
+        Time from a write until the lease expires.
     renew_after_s : float
-        Age of the last write at which the holder renews.
-    margin_s : float
-        The holder stops acting this long before the end.
-    rate_error : float
-        Largest relative error of the rate of a clock.
+        Age of the last write at which the holder renews the lease.
+    safety_margin_s : float
+        Time before the expiry at which the holder stops using the lease.
+    max_clock_drift_ratio : float
+        Largest relative error of the rate of a monotonic clock.
     """
 
     duration_s: float = 10.0
     renew_after_s: float = 3.0
-    margin_s: float = 2.0
-    rate_error: float = 0.001
+    safety_margin_s: float = 2.0
+    max_clock_drift_ratio: float = 0.001
 
     @property
-    def holder_duration_s(self) -> float:
-        """How long the holder relies on a write, by its own clock."""
-        return self.duration_s * (1 - self.rate_error) - self.margin_s
+    def usable_duration_s(self) -> float:
+        """Time for which the holder may use the lease after it sent a write."""
+        return self.duration_s * (1 - self.max_clock_drift_ratio) - self.safety_margin_s
 
     @property
-    def observer_duration_s(self) -> float:
-        """How long others see an unchanged row before they take over."""
-        return self.duration_s * (1 + self.rate_error)
+    def takeover_delay_s(self) -> float:
+        """Time for which a row must be seen unchanged before a takeover."""
+        return self.duration_s * (1 + self.max_clock_drift_ratio)
 
 
 class LeaseRow(NamedTuple):
-    """Content of the lease's row.
+    """Content of the row of a lease.
 
     Parameters
     ----------
     holder : str
-        Name of the instance; empty after a release.
+        Name of the holding instance; empty after a release.
     incarnation : int
-        Incarnation of that instance.
+        Incarnation of the holder.
     fence : int
-        Grows with every change of holder.
+        Fencing number, incremented by each acquisition.
     expires_at_ms : float
-        For operators only, by the holder's wall clock.
+        Unix time of the expiry in milliseconds, by the wall clock of the holder.
+        Informative only: no decision depends on it.
     """
 
     holder: str
@@ -76,12 +77,12 @@
 
 
 def parse_lease_row(value: Mapping[str, Any]) -> LeaseRow:
-    """Return the lease that a row's JSON value holds.
+    """Parse the JSON value of a lease row.
 
     Raises
     ------
     ValueError
-        If the value is no lease.
+        If the value is not a lease row.
     """
     try:
         return LeaseRow(
@@ -91,11 +92,11 @@
             float(value["expires_at_ms"]),
         )
     except (KeyError, TypeError) as error:
-        raise ValueError(f"no lease: {error!r}") from error
+        raise ValueError(f"malformed lease row: {error!r}") from error
 
 
 class LeaseAction(enum.Enum):
-    """What an instance should do about a lease now."""
+    """Next action of an instance on a lease."""
 
     WAIT = "wait"
     ACQUIRE = "acquire"
@@ -111,17 +112,19 @@
     owner : str
         Name of this instance.
     incarnation : int
-        Its incarnation.
+        Incarnation of this instance.
     row : LeaseRow or None
-        The row as last seen; None if absent or never read.
+        The row as last seen; None if it is absent or was never read.
     row_version : int
-        Version of the row, 0 if absent; -1 before the first read.
+        Version of the row; 0 if it is absent, -1 before the first read.
     seen_at : float
-        When this row version was first seen, in seconds of the own clock.
+        Monotonic time at which this row version was first seen, in seconds.
     held_until : float
-        End of the own lease in seconds of the own clock, margin taken off.
+        Monotonic time until which this instance may use the lease, in seconds; the
+        safety margin is already subtracted. Negative infinity without a lease.
     acquired_at : float
-        When the present term of the own lease began.
+        Monotonic time at which this instance acquired the lease, in seconds;
+        renewals don't change it. Infinity without a lease.
     """
 
     owner: str
@@ -134,66 +137,68 @@
 
     @property
     def fence(self) -> int:
-        """Fencing number of the row as last seen."""
+        """Fencing number in the row as last seen; 0 without a row."""
         return self.row.fence if self.row else 0
 
     @property
-    def is_row_owner(self) -> bool:
-        """Whether the row as last seen names this incarnation."""
+    def is_row_holder(self) -> bool:
+        """Whether this incarnation is the holder in the row as last seen."""
         if self.row is None:
             return False
-        named = (self.row.holder, self.row.incarnation)
-        return named == (self.owner, self.incarnation)
+        holder = (self.row.holder, self.row.incarnation)
+        return holder == (self.owner, self.incarnation)
 
 
-def decide_lease(view: LeaseView, terms: LeaseTerms, now: float) -> LeaseAction:
-    """Return what to do about the lease.
+def decide_lease_action(
+    view: LeaseView, timing: LeaseTiming, now: float
+) -> LeaseAction:
+    """Return the next action on the lease.
 
     Parameters
     ----------
     view : LeaseView
-        What is known.
-    terms : LeaseTerms
-        Durations.
+        What this instance knows of the lease.
+    timing : LeaseTiming
+        Durations of the lease.
     now : float
-        Seconds of the own clock.
+        Monotonic time of this instance, in seconds.
     """
     if view.row_version < 0:
         return LeaseAction.WAIT
     if is_held(view, now):
-        last_write = view.held_until - terms.holder_duration_s
-        due = now - last_write >= terms.renew_after_s
-        return LeaseAction.RENEW if due else LeaseAction.WAIT
+        written_at = view.held_until - timing.usable_duration_s
+        is_due = now - written_at >= timing.renew_after_s
+        return LeaseAction.RENEW if is_due else LeaseAction.WAIT
     if view.row is None or view.row.holder == "":
         return LeaseAction.ACQUIRE
-    if now - view.seen_at >= terms.observer_duration_s:
+    if now - view.seen_at >= timing.takeover_delay_s:
         return LeaseAction.ACQUIRE
     return LeaseAction.WAIT
 
 
-def draft_row(
-    view: LeaseView, action: LeaseAction, terms: LeaseTerms, wall_time: float
+def build_lease_row(
+    view: LeaseView, action: LeaseAction, timing: LeaseTiming, wall_time: float
 ) -> LeaseRow:
-    """Return the row to write for an action; a new term has a higher fence.
+    """Return the row to write for an action; an acquisition increments the fence.
 
     Parameters
     ----------
     view : LeaseView
-        What is known.
+        What this instance knows of the lease.
     action : LeaseAction
         ``ACQUIRE`` or ``RENEW``.
-    terms : LeaseTerms
-        Durations.
+    timing : LeaseTiming
+        Durations of the lease.
     wall_time : float
-        Seconds since the epoch, for operators.
+        Unix time in seconds; only used for ``expires_at_ms``.
     """
     fence = view.fence + 1 if action is LeaseAction.ACQUIRE else view.fence
-    expires_at_ms = (wall_time + terms.duration_s) * 1000
+    expires_at_ms = (wall_time + timing.duration_s) * 1000
     return LeaseRow(view.owner, view.incarnation, fence, expires_at_ms)
 
 
-def draft_release(view: LeaseView) -> LeaseRow:
-    """Return the row that gives the lease up; the fence is kept."""
+def build_release_row(view: LeaseView) -> LeaseRow:
+    """Return the row that releases the lease; the fence does not change."""
     return LeaseRow("", 0, view.fence, 0.0)
 
 
@@ -205,18 +210,18 @@
     Parameters
     ----------
     view : LeaseView
-        The view before.
+        The previous view.
     row : LeaseRow or None
-        The row read; None if it is absent.
+        The row as read; None if it is absent.
     row_version : int
-        Its version, 0 if it is absent.
+        Version of the row; 0 if it is absent.
     now : float
-        When the answer came, in seconds of the own clock.
+        Monotonic time at which the response arrived, in seconds.
     """
     if row_version <= view.row_version:
         return view
     seen = attrs.evolve(view, row=row, row_version=row_version, seen_at=now)
-    if seen.is_row_owner and row is not None and row.fence == view.fence:
+    if seen.is_row_holder and row is not None and row.fence == view.fence:
         return seen
     return attrs.evolve(seen, held_until=float("-inf"), acquired_at=float("inf"))
 
@@ -225,57 +230,57 @@
     view: LeaseView,
     row: LeaseRow,
     row_version: int,
-    terms: LeaseTerms,
+    timing: LeaseTiming,
     *,
     sent_at: float,
     now: float,
 ) -> LeaseView:
-    """Return the view after an own write was confirmed.
+    """Return the view after a write of this instance was confirmed.
 
     Parameters
     ----------
     view : LeaseView
-        The view before.
+        The previous view.
     row : LeaseRow
-        The row written.
+        The written row.
     row_version : int
-        Its version.
-    terms : LeaseTerms
-        Durations.
+        Version of the written row.
+    timing : LeaseTiming
+        Durations of the lease.
     sent_at : float
-        Moment before the write was sent, in seconds of the own clock.
+        Monotonic time just before the write was sent, in seconds.
     now : float
-        When the confirmation came.
+        Monotonic time at which the confirmation arrived, in seconds.
     """
     if row_version < view.row_version:
         return view
-    same_term = is_held(view, now) and row.fence == view.fence
+    is_renewal = is_held(view, now) and row.fence == view.fence
     return attrs.evolve(
         view,
         row=row,
         row_version=row_version,
         seen_at=now,
-        held_until=sent_at + terms.holder_duration_s,
-        acquired_at=view.acquired_at if same_term else now,
+        held_until=sent_at + timing.usable_duration_s,
+        acquired_at=view.acquired_at if is_renewal else now,
     )
 
 
 def is_held(view: LeaseView, now: float) -> bool:
-    """Return whether the lease is safely held at ``now`` on the own clock."""
+    """Return whether this instance may use the lease at the monotonic time ``now``."""
     return now < view.held_until
 
 
 def may_order(view: LeaseView, now: float, *, longest_pause_s: float) -> bool:
-    """Return whether an order may be sent right now.
+    """Return whether the lease allows an order to be sent now.
 
     Parameters
     ----------
     view : LeaseView
-        What is known of the lease.
+        What this instance knows of the lease.
     now : float
-        Seconds of the own clock, read right before sending.
+        Monotonic time in seconds, read immediately before sending.
     longest_pause_s : float
-        0 for servers that refuse old fencing numbers; for others how long an
-        earlier holder may have paused between its check and its order.
+        Longest time that an earlier holder may have been paused between its check
+        and its order. 0 for servers that reject stale fencing numbers.
     """
     return is_held(view, now) and now >= view.acquired_at + longest_pause_s
--- a/packages/decisions/src/ebonyhaven_decisions/_assembly.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_scheduler_factory.py
@@ -1,4 +1,4 @@
-"""Schedulers by the name that settings give them."""
+"""Construction of the scheduler that the settings select."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from ebonyhaven_decisions._usage import UsageLedger
 
 
-class Scheduling(enum.StrEnum):
-    """Ways to schedule; all but ``FAIR`` are baselines for measurements."""
+class SchedulingAlgorithm(enum.StrEnum):
+    """Scheduling algorithms; all except ``FAIR`` are baselines for benchmarks."""
 
     FAIR = "fair"
     ROUND_ROBIN = "round_robin"
@@ -29,34 +29,36 @@
 
 
 def build_scheduler(
-    scheduling: Scheduling,
+    scheduling: SchedulingAlgorithm,
     policies: Mapping[str, ClassPolicy],
     *,
     place: Locality,
     random_source: random.Random,
     now: float,
 ) -> Scheduler:
-    """Build a scheduler.
+    """Build a scheduler with its queue, admission control and router.
 
     Parameters
     ----------
-    scheduling : Scheduling
+    scheduling : SchedulingAlgorithm
+        ``FAIR`` also enables concurrency limits and predictive admission.
     policies : mapping of str to ClassPolicy
+        Policies by name of the request class.
     place : Locality
-        Where the instance runs.
+        Data centre and region of this instance; only ``FAIR`` uses them.
     random_source : random.Random
     now : float
-        Seconds.
+        Monotonic time in seconds.
 
     Returns
     -------
     Scheduler
     """
     ledger = UsageLedger(now)
-    is_fair = scheduling is Scheduling.FAIR
+    is_fair = scheduling is SchedulingAlgorithm.FAIR
     if is_fair:
         router = LoadAwareRouter(random_source, place)
-    elif scheduling is Scheduling.ROUND_ROBIN:
+    elif scheduling is SchedulingAlgorithm.ROUND_ROBIN:
         router = RoundRobinRouter()
     else:
         router = LeastConnectionsRouter(random_source)
--- a/packages/decisions/src/ebonyhaven_decisions/exceptions.py
+++ b/packages/decisions/src/ebonyhaven_decisions/exceptions.py
@@ -1,15 +1,15 @@
-"""Errors raised by decision logic on bad input."""
+"""Exceptions raised by the decision logic for invalid input."""
 
 from __future__ import annotations
 
 
 class DecisionError(ValueError):
-    """Base class of all errors of this package."""
+    """Base class of the exceptions in this module."""
 
 
 class MalformedEventId(DecisionError):
-    """Raised for an event id that no node can have sent."""
+    """Raised for text that is no valid event id."""
 
 
 class IllegalTransition(DecisionError):
-    """Raised when a life cycle receives an input that its state forbids."""
+    """Raised when a state machine receives an input that its state does not allow."""
--- a/packages/node/src/ebonyhaven_node/_claims.py
+++ b/packages/node/src/ebonyhaven_node/_claims.py
@@ -8,7 +8,7 @@
 
 import attrs
 import structlog
-from ebonyhaven_decisions import Claimant, ClaimRow, raise_epoch
+from ebonyhaven_decisions import Claimant, ClaimRow, build_continuation_claim
 from ebonyhaven_store import (
     Condition,
     Conflict,
@@ -175,7 +175,7 @@
         ------
         ClaimTimeout
         """
-        row = raise_epoch(claim.row, claimant=self.claimant, server=server)
+        row = build_continuation_claim(claim.row, claimant=self.claimant, server=server)
         return await self._write(name_row(run_id), row, claim.version, deadline)
 
     async def read(self, run_id: str, *, deadline: float) -> Claim | None:
--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -11,7 +11,7 @@
     Claimant,
     CrashLedger,
     Locality,
-    Scheduling,
+    SchedulingAlgorithm,
     build_scheduler,
 )
 from ebonyhaven_store import InstanceListClient, PlatformTransport, TableClient
@@ -241,7 +241,7 @@
 
     def _build_scheduling(self) -> PolicyScheduling:
         scheduler = build_scheduler(
-            Scheduling(self._settings.scheduling),
+            SchedulingAlgorithm(self._settings.scheduling),
             {},
             place=Locality(self._settings.data_centre, self._settings.region),
             random_source=self._rng,
--- a/packages/node/src/ebonyhaven_node/_configuration.py
+++ b/packages/node/src/ebonyhaven_node/_configuration.py
@@ -14,15 +14,15 @@
 
 import structlog
 from ebonyhaven_decisions import (
-    CURRENT_KEY,
+    CURRENT_CONFIGURATION_KEY,
     ConfigurationEntry,
     ConfigurationView,
     DeclarationError,
     PeerReport,
     observe_peer,
     observe_table,
+    parse_configuration_entry,
     parse_declaration,
-    parse_entry,
 )
 from ebonyhaven_store import PlatformError, RowSet, TableClient
 from twisted.internet import task
@@ -196,7 +196,7 @@
     async def _read_table(self) -> None:
         try:
             changes = await self._table.read_changes(
-                self._table_version, prefix=CURRENT_KEY
+                self._table_version, prefix=CURRENT_CONFIGURATION_KEY
             )
         except PlatformError:
             self._table_failed = True
@@ -207,12 +207,12 @@
         self._take_changes(changes)
 
     def _take_changes(self, changes: RowSet) -> None:
-        row = changes.find(CURRENT_KEY)
+        row = changes.find(CURRENT_CONFIGURATION_KEY)
         if row.value is None:
             self._table_version = changes.version
             return
         try:
-            entry = parse_entry(row.value)
+            entry = parse_configuration_entry(row.value)
         except ValueError as error:
             self._refuse(row.version, str(error))
             return
@@ -224,7 +224,7 @@
 
     def _ask_peers(self) -> None:
         is_starting = self._view.entry is None and self._table_failed
-        if not is_starting and not self._view.wanted_version:
+        if not is_starting and not self._view.version_to_fetch:
             self._unasked = []
             return
         if not self._unasked:
--- a/packages/node/src/ebonyhaven_node/_configuration_peers.py
+++ b/packages/node/src/ebonyhaven_node/_configuration_peers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ebonyhaven_decisions import parse_entry
+from ebonyhaven_decisions import parse_configuration_entry
 
 from ebonyhaven_node._channels import Channels
 from ebonyhaven_node._configuration import ConfigurationController
@@ -110,6 +110,6 @@
             version=int(version),
             highest_version=int(highest_version),
             answers=int(answers),
-            entry=parse_entry(entry) if entry is not None else None,
+            entry=parse_configuration_entry(entry) if entry is not None else None,
         )
         self._controller.receive_answer(frame.sender, message)
--- a/packages/node/src/ebonyhaven_node/_events.py
+++ b/packages/node/src/ebonyhaven_node/_events.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any, NamedTuple
 
-from ebonyhaven_decisions import BEFORE_FIRST, EventId, Outcome
+from ebonyhaven_decisions import OFFSET_BEFORE_FIRST_TOKEN, EventId, Outcome
 
 KEEP_ALIVE = b": keep-alive\n\n"
 DONE = b"data: [DONE]\n\n"
@@ -146,7 +146,9 @@
         -------
         bytes
         """
-        return f"id: {EventId(BEFORE_FIRST, generation, server)}\n\n".encode()
+        return (
+            f"id: {EventId(OFFSET_BEFORE_FIRST_TOKEN, generation, server)}\n\n".encode()
+        )
 
     def write_end(
         self, *, offset: int, generation: str, server: str, finish_reason: str
--- a/packages/node/src/ebonyhaven_node/_leases.py
+++ b/packages/node/src/ebonyhaven_node/_leases.py
@@ -15,12 +15,12 @@
     LEASE_PREFIX,
     LeaseAction,
     LeaseRow,
-    LeaseTerms,
+    LeaseTiming,
     LeaseView,
+    build_lease_row,
+    build_release_row,
     confirm_lease,
-    decide_lease,
-    draft_release,
-    draft_row,
+    decide_lease_action,
     is_held,
     may_order,
     observe_lease,
@@ -113,7 +113,7 @@
     rng : random.Random
     candidacy : Candidacy
     metrics : LeaseMetrics
-    terms : LeaseTerms
+    terms : LeaseTiming
     clock : callable
         Seconds of a steady clock that goes on while the process is paused.
     """
@@ -128,7 +128,7 @@
         rng: random.Random,
         candidacy: Candidacy,
         metrics: LeaseMetrics,
-        terms: LeaseTerms | None = None,
+        terms: LeaseTiming | None = None,
         clock: Callable[[], float] = read_clock,
     ):
         self.lease = lease
@@ -138,7 +138,7 @@
         self._rng = rng
         self._candidacy = candidacy
         self._metrics = metrics
-        self._terms = terms or LeaseTerms()
+        self._terms = terms or LeaseTiming()
         self._clock = clock
         self._view = LeaseView(owner=owner.name, incarnation=owner.incarnation)
         self._lifecycle = make_lease_lifecycle(self._note_state)
@@ -206,7 +206,7 @@
             await self._read_row()
         elif self._doubt is not None:
             await self._read_row()
-        action = decide_lease(self._view, self._terms, self._clock())
+        action = decide_lease_action(self._view, self._terms, self._clock())
         if action is not LeaseAction.WAIT:
             await self._write_row(action.value)
 
@@ -239,8 +239,10 @@
 
     def _draft(self, action: str) -> LeaseRow:
         if action == "release":
-            return draft_release(self._view)
-        return draft_row(self._view, LeaseAction(action), self._terms, time.time())
+            return build_release_row(self._view)
+        return build_lease_row(
+            self._view, LeaseAction(action), self._terms, time.time()
+        )
 
     def _observe(self, read: Row) -> None:
         row = parse_lease_row(read.value) if read.value is not None else None
--- a/packages/node/src/ebonyhaven_node/_run_claims.py
+++ b/packages/node/src/ebonyhaven_node/_run_claims.py
@@ -5,10 +5,10 @@
 import time
 
 from ebonyhaven_decisions import (
-    ClaimVerdict,
+    ClaimDecision,
     OutcomeTag,
     RequestFailure,
-    judge_claim,
+    evaluate_claim,
     may_dispatch,
 )
 
@@ -108,16 +108,16 @@
             )
         except ClaimTimeout as error:
             raise _describe_unrecorded(error) from error
-        verdict = judge_claim(
+        verdict = evaluate_claim(
             self._claim.row,
             claimant=self._claims.claimant,
             digest=self._request.digest,
-            inserted_now=self._claim.own,
+            inserted_by_submission=self._claim.own,
         )
-        if verdict is ClaimVerdict.DIGEST_MISMATCH:
+        if verdict is ClaimDecision.DIGEST_MISMATCH:
             reason = "the idempotency key was used with a different body"
             raise make_failure(OutcomeTag.NOT_RUN, "deduplicate", reason, status=409)
-        if verdict is ClaimVerdict.ATTACH:
+        if verdict is ClaimDecision.ATTACH:
             return False
         await self._confirm(self._claim, deadline)
         return True
@@ -167,7 +167,7 @@
         if may_dispatch(
             write_sent_at=claim.write_sent_at,
             deadline=deadline,
-            woke_at=self._claims.pauses.find_wake(),
+            pause_ended_at=self._claims.pauses.find_wake(),
             now=time.monotonic(),
         ):
             return
--- a/packages/node/src/ebonyhaven_node/_runs.py
+++ b/packages/node/src/ebonyhaven_node/_runs.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 import attrs
-from ebonyhaven_decisions import BEFORE_FIRST, EventId, Outcome
+from ebonyhaven_decisions import OFFSET_BEFORE_FIRST_TOKEN, EventId, Outcome
 
 from ebonyhaven_node._requests import GenerationRequest
 
@@ -141,7 +141,7 @@
             backend server which this run did not take it from. A caller that
             holds no token yet can be given any generation.
         """
-        if position.offset == BEFORE_FIRST:
+        if position.offset == OFFSET_BEFORE_FIRST_TOKEN:
             return True
         if position.generation != self.generation:
             return False
--- a/packages/node/src/ebonyhaven_node/_settings.py
+++ b/packages/node/src/ebonyhaven_node/_settings.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 import attrs
-from ebonyhaven_decisions import Scheduling
+from ebonyhaven_decisions import SchedulingAlgorithm
 
 from ebonyhaven_node.exceptions import SettingsError
 
 _ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 RESUME_MODES = ("continue", "restart")
-SCHEDULINGS = tuple(each.value for each in Scheduling)
+SCHEDULINGS = tuple(each.value for each in SchedulingAlgorithm)
 
 
 @attrs.frozen(slots=True, kw_only=True)
--- a/packages/operator/src/ebonyhaven_operator/_changes.py
+++ b/packages/operator/src/ebonyhaven_operator/_changes.py
@@ -8,18 +8,18 @@
 
 import attrs
 from ebonyhaven_decisions import (
-    CURRENT_KEY,
+    CURRENT_CONFIGURATION_KEY,
     MAX_ENTRY_BYTES,
-    Acceptance,
+    AcceptanceTransaction,
     ConfigurationEntry,
     CurrentEntry,
     Declaration,
     DeclarationError,
-    name_change_key,
-    name_history_key,
+    build_acceptance_transaction,
+    format_change_key,
+    format_history_key,
+    parse_configuration_entry,
     parse_declaration,
-    parse_entry,
-    propose_entry,
 )
 from ebonyhaven_store import (
     Condition,
@@ -107,8 +107,10 @@
     CommandError
         For a conflict, an outage, or a write that could not be settled.
     """
-    change_key = name_change_key(change.change_id)
-    rows = await read_patiently(table, [CURRENT_KEY, change_key], clock, limit)
+    change_key = format_change_key(change.change_id)
+    rows = await read_patiently(
+        table, [CURRENT_CONFIGURATION_KEY, change_key], clock, limit
+    )
     current = find_current(rows)
     earlier = rows.find(change_key)
     if earlier.value is not None:
@@ -129,7 +131,7 @@
     clock: Any,
     limit: RetryLimit,
 ) -> Accepted:
-    acceptance = propose_entry(
+    acceptance = build_acceptance_transaction(
         current,
         change_id=change.change_id,
         author=change.author,
@@ -137,7 +139,7 @@
         declaration=change.declaration.serialize(),
     )
     _check_size(acceptance.entry)
-    change_key = name_change_key(change.change_id)
+    change_key = format_change_key(change.change_id)
     try:
         await resolve_write(
             table,
@@ -166,9 +168,9 @@
 async def _confirm_earlier(
     table: TableClient, change: Change, version: int, clock: Any, limit: RetryLimit
 ) -> Accepted:
-    key = name_history_key(version)
+    key = format_history_key(version)
     rows = await read_patiently(table, [key], clock, limit)
-    if _holds(parse_entry(rows.find(key).value), change.declaration):
+    if _holds(parse_configuration_entry(rows.find(key).value), change.declaration):
         return Accepted(version, "accepted_before")
     message = (
         f"not accepted: change {change.change_id} was accepted as version {version} "
@@ -193,7 +195,7 @@
         raise CommandError("invalid", message, exit_code=EXIT_INVALID)
 
 
-def _make_transaction(change: Change, acceptance: Acceptance) -> Transaction:
+def _make_transaction(change: Change, acceptance: AcceptanceTransaction) -> Transaction:
     return Transaction(
         change.change_id,
         tuple(Condition(*item) for item in acceptance.conditions),
--- a/packages/operator/src/ebonyhaven_operator/_reading.py
+++ b/packages/operator/src/ebonyhaven_operator/_reading.py
@@ -8,11 +8,11 @@
 
 import treq
 from ebonyhaven_decisions import (
-    CURRENT_KEY,
+    CURRENT_CONFIGURATION_KEY,
     ConfigurationEntry,
     CurrentEntry,
-    name_history_key,
-    parse_entry,
+    format_history_key,
+    parse_configuration_entry,
 )
 from ebonyhaven_store import (
     InstanceListClient,
@@ -58,8 +58,8 @@
 
 def find_current(rows: RowSet) -> CurrentEntry:
     """Return the current configuration among rows."""
-    row = rows.find(CURRENT_KEY)
-    entry = None if row.value is None else parse_entry(row.value)
+    row = rows.find(CURRENT_CONFIGURATION_KEY)
+    entry = None if row.value is None else parse_configuration_entry(row.value)
     return CurrentEntry(entry, row.version)
 
 
@@ -79,14 +79,14 @@
     limit : RetryLimit
         How long to try.
     """
-    rows = await read_patiently(table, [CURRENT_KEY], clock, limit)
+    rows = await read_patiently(table, [CURRENT_CONFIGURATION_KEY], clock, limit)
     newest = find_current(rows).version
     oldest = max(1, newest - length + 1)
-    keys = [name_history_key(version) for version in range(oldest, newest + 1)]
+    keys = [format_history_key(version) for version in range(oldest, newest + 1)]
     if not keys:
         return []
     kept = await read_patiently(table, keys, clock, limit)
-    entries = [parse_entry(row.value) for row in kept.rows]
+    entries = [parse_configuration_entry(row.value) for row in kept.rows]
     return sorted(entries, key=lambda entry: -entry.version)
 
 
@@ -150,7 +150,7 @@
     """
     version: int | None = None
     try:
-        rows = await table.read_rows([CURRENT_KEY])
+        rows = await table.read_rows([CURRENT_CONFIGURATION_KEY])
         version = find_current(rows).version
     except PlatformError:
         pass
--- a/packages/operator/src/ebonyhaven_operator/commands.py
+++ b/packages/operator/src/ebonyhaven_operator/commands.py
@@ -20,7 +20,7 @@
 import attrs
 import typer
 from ebonyhaven_decisions import (
-    CURRENT_KEY,
+    CURRENT_CONFIGURATION_KEY,
     Declaration,
     DeclarationError,
     diff,
@@ -240,7 +240,7 @@
 
 async def _read_current(session: Session) -> Any:
     rows = await read_patiently(
-        session.table, [CURRENT_KEY], session.reactor, session.limit
+        session.table, [CURRENT_CONFIGURATION_KEY], session.reactor, session.limit
     )
     return find_current(rows)
 
--- a/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
@@ -16,7 +16,7 @@
     ClassTargets,
     Locality,
     Scheduler,
-    Scheduling,
+    SchedulingAlgorithm,
     ServerEntry,
     ServerReport,
     WorkItem,
@@ -133,7 +133,7 @@
 
 def _build(servers: int, *, running: int) -> Scheduler:
     scheduler = build_scheduler(
-        Scheduling.FAIR,
+        SchedulingAlgorithm.FAIR,
         derive_policies(TARGETS),
         place=PLACE,
         random_source=random.Random(1),
--- a/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
@@ -9,7 +9,7 @@
 from ebonyhaven_decisions import (
     ClassTargets,
     Locality,
-    Scheduling,
+    SchedulingAlgorithm,
     WorkItem,
     build_scheduler,
     derive_policies,
@@ -84,7 +84,7 @@
     points = []
     for count in (100, *DECISION_COUNTS):
         scheduler = build_scheduler(
-            Scheduling.FAIR,
+            SchedulingAlgorithm.FAIR,
             derive_policies(targets),
             place=Locality("data-centre-0", "region-0"),
             random_source=random.Random(1),
--- a/tests/decisions/exploration.py
+++ b/tests/decisions/exploration.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of small state machines."""
+"""Exhaustive exploration of the states of small models."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
     Parameters
     ----------
     states : int
-        Number of distinct states visited.
+        Number of distinct visited states.
     violation : tuple of str or None
-        Shortest list of actions that breaks the property, if any does.
+        Shortest sequence of actions that violates the invariant; None if there is
+        none.
     """
 
     states: int
     violation: tuple[str, ...] | None
 
 
-class Step(NamedTuple):
-    """An action and the state it leads to."""
+class Transition(NamedTuple):
+    """An action and the resulting state."""
 
     action: str
     state: Hashable
@@ -31,24 +32,24 @@
 
 def explore(
     initial: Hashable,
-    list_steps: Callable[[Hashable], Iterable[Step]],
-    holds: Callable[[Hashable], bool],
+    list_transitions: Callable[[Hashable], Iterable[Transition]],
+    invariant: Callable[[Hashable], bool],
 ) -> Exploration:
-    """Visit every reachable state breadth first."""
+    """Visit all reachable states breadth-first until one violates the invariant."""
     parents: dict[Hashable, tuple[Hashable, str] | None] = {initial: None}
-    waiting = deque([initial])
-    while waiting:
-        state = waiting.popleft()
-        if not holds(state):
-            return Exploration(len(parents), _trace(parents, state))
-        for step in list_steps(state):
-            if step.state not in parents:
-                parents[step.state] = (state, step.action)
-                waiting.append(step.state)
+    queue = deque([initial])
+    while queue:
+        state = queue.popleft()
+        if not invariant(state):
+            return Exploration(len(parents), _trace_actions(parents, state))
+        for transition in list_transitions(state):
+            if transition.state not in parents:
+                parents[transition.state] = (state, transition.action)
+                queue.append(transition.state)
     return Exploration(len(parents), None)
 
 
-def _trace(parents: dict, state: Hashable) -> tuple[str, ...]:
+def _trace_actions(parents: dict, state: Hashable) -> tuple[str, ...]:
     actions = []
     while parents[state] is not None:
         state, action = parents[state]
--- a/tests/decisions/scheduling.py
+++ b/tests/decisions/scheduling.py
@@ -8,7 +8,7 @@
     ClassTargets,
     Locality,
     Scheduler,
-    Scheduling,
+    SchedulingAlgorithm,
     ServerEntry,
     ServerReport,
     WorkItem,
@@ -54,7 +54,7 @@
 
 def build_fair_scheduler(servers=2, capacity=4, *, seed=1, policies=None) -> Scheduler:
     scheduler = build_scheduler(
-        Scheduling.FAIR,
+        SchedulingAlgorithm.FAIR,
         policies or POLICIES,
         place=LOCAL_PLACE,
         random_source=random.Random(seed),
--- a/tests/decisions/test_claims.py
+++ b/tests/decisions/test_claims.py
@@ -1,7 +1,7 @@
 """Exhaustive exploration of claim and dispatch with two instances.
 
-Each instance may submit the same request, die and restart at any moment, lose
-the confirmation of its write, and be paused between claim and dispatch.
+Both instances may submit the same request, crash and restart at any time, lose the
+confirmation of the write and be paused between claim and dispatch.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 
 from ebonyhaven_decisions import (
     Claimant,
+    ClaimDecision,
     ClaimRow,
-    ClaimVerdict,
-    judge_claim,
+    build_continuation_claim,
+    evaluate_claim,
     may_dispatch,
-    raise_epoch,
 )
 
-from tests.decisions.exploration import Exploration, Step, explore
+from tests.decisions.exploration import Exploration, Transition, explore
 
 DIGEST = "d"
-WOKE_AT = 1.0
+PAUSE_ENDED_AT = 1.0
 DEADLINE = 5.0
 MAX_INCARNATION = 2
 
@@ -28,13 +28,13 @@
 class Instance(NamedTuple):
     incarnation: int = 1
     phase: str = "idle"  # idle, writing, claimed, done
-    late: bool = False
+    was_paused: bool = False
 
 
-class World(NamedTuple):
+class SystemState(NamedTuple):
     row: tuple[int, int] | None = None  # owner and incarnation
     instances: tuple[Instance, Instance] = (Instance(), Instance())
-    starts: int = 0
+    dispatch_count: int = 0
 
 
 def make_row(owner: int, incarnation: int) -> ClaimRow:
@@ -49,102 +49,117 @@
     )
 
 
-def judge(row, index, instance):
+def evaluate_row(row, index, instance):
     claimant = Claimant(instance=f"n{index}", incarnation=instance.incarnation)
-    wrote_it = row == (index, instance.incarnation) and instance.phase == "writing"
-    return judge_claim(
-        make_row(*row), claimant=claimant, digest=DIGEST, inserted_now=wrote_it
+    is_own_insert = row == (index, instance.incarnation) and instance.phase == "writing"
+    return evaluate_claim(
+        make_row(*row),
+        claimant=claimant,
+        digest=DIGEST,
+        inserted_by_submission=is_own_insert,
     )
 
 
-def judge_by_name(row, index, instance):
-    """Break the rule: take any row of the own name for the own claim."""
-    return ClaimVerdict.DISPATCH if row[0] == index else ClaimVerdict.ATTACH
+def evaluate_row_by_instance(row, index, instance):
+    """Dispatch for any row of the same instance, whatever its incarnation."""
+    return ClaimDecision.DISPATCH if row[0] == index else ClaimDecision.ATTACH
 
 
-def list_steps(world: World, rule) -> list[Step]:
-    steps = []
-    for index, instance in enumerate(world.instances):
-        steps += list_instance_steps(world, index, instance, rule)
-    return steps
+def list_transitions(state: SystemState, evaluate) -> list[Transition]:
+    transitions = []
+    for index, instance in enumerate(state.instances):
+        transitions += list_instance_transitions(state, index, instance, evaluate)
+    return transitions
 
 
-def list_instance_steps(world, index, instance, rule):
-    def change(action, *, row=world.row, starts=world.starts, **fields):
-        instances = list(world.instances)
+def list_instance_transitions(state, index, instance, evaluate):
+    def change(action, *, row=state.row, dispatch_count=state.dispatch_count, **fields):
+        instances = list(state.instances)
         instances[index] = instance._replace(**fields)
         name = f"{action} n{index}"
-        return Step(name, World(row, tuple(instances), starts))
+        return Transition(name, SystemState(row, tuple(instances), dispatch_count))
 
-    steps = []
+    transitions = []
     if instance.incarnation < MAX_INCARNATION:
-        restarted = instance.incarnation + 1
-        steps.append(change("restart", incarnation=restarted, phase="idle", late=False))
-    if not instance.late and instance.phase in ("writing", "claimed"):
-        steps.append(change("pause", late=True))
+        next_incarnation = instance.incarnation + 1
+        transitions.append(
+            change(
+                "restart", incarnation=next_incarnation, phase="idle", was_paused=False
+            )
+        )
+    if not instance.was_paused and instance.phase in ("writing", "claimed"):
+        transitions.append(change("pause", was_paused=True))
     if instance.phase == "idle":
-        steps.append(change("submit", phase="writing"))
+        transitions.append(change("submit", phase="writing"))
     if instance.phase == "writing":
-        if world.row is None:
-            own = (index, instance.incarnation)
-            steps.append(change("write, confirmation lost", row=own))
+        if state.row is None:
+            inserted_row = (index, instance.incarnation)
+            transitions.append(change("write, confirmation lost", row=inserted_row))
         else:
-            dispatches = rule(world.row, index, instance) is ClaimVerdict.DISPATCH
-            phase = "claimed" if dispatches else "done"
-            steps.append(change("read back", phase=phase))
+            is_claimed = evaluate(state.row, index, instance) is ClaimDecision.DISPATCH
+            phase = "claimed" if is_claimed else "done"
+            transitions.append(change("read back", phase=phase))
     if instance.phase == "claimed":
-        woke_at = WOKE_AT if instance.late else float("-inf")
-        dispatched = may_dispatch(
-            write_sent_at=0.0, deadline=DEADLINE, woke_at=woke_at, now=2.0
+        pause_ended_at = PAUSE_ENDED_AT if instance.was_paused else float("-inf")
+        is_dispatched = may_dispatch(
+            write_sent_at=0.0, deadline=DEADLINE, pause_ended_at=pause_ended_at, now=2.0
+        )
+        dispatch_count = state.dispatch_count + is_dispatched
+        transitions.append(
+            change("dispatch", phase="done", dispatch_count=dispatch_count)
         )
-        starts = world.starts + dispatched
-        steps.append(change("dispatch", phase="done", starts=starts))
-    return steps
+    return transitions
 
 
-def run(rule) -> Exploration:
+def explore_claims(evaluate) -> Exploration:
     return explore(
-        World(),
-        lambda world: list_steps(world, rule),
-        lambda world: world.starts <= 1,
+        SystemState(),
+        lambda state: list_transitions(state, evaluate),
+        lambda state: state.dispatch_count <= 1,
     )
 
 
-def test_no_interleaving_starts_a_request_twice():
-    result = run(judge)
+def test_no_interleaving_dispatches_a_request_twice():
+    result = explore_claims(evaluate_row)
     assert result.violation is None
     assert result.states > 100
 
 
-def test_exploration_catches_a_rule_that_ignores_the_incarnation():
-    violation = run(judge_by_name).violation
+def test_exploration_detects_evaluation_without_incarnation():
+    violation = explore_claims(evaluate_row_by_instance).violation
     assert violation is not None
     assert sum(action.startswith("dispatch") for action in violation) == 2
 
 
-def test_claim_of_another_body_is_told_apart():
-    verdict = judge_claim(
+def test_claim_with_another_digest_is_a_mismatch():
+    decision = evaluate_claim(
         make_row(0, 1),
         claimant=Claimant(instance="n0", incarnation=1),
         digest="other",
-        inserted_now=True,
+        inserted_by_submission=True,
     )
-    assert verdict is ClaimVerdict.DIGEST_MISMATCH
+    assert decision is ClaimDecision.DIGEST_MISMATCH
 
 
-def test_claimant_that_was_paused_or_is_out_of_time_may_not_dispatch():
-    never = float("-inf")
+def test_no_dispatch_after_a_pause_or_the_deadline():
+    no_pause = float("-inf")
     times = {"write_sent_at": 5.0, "deadline": 9.0}
-    assert may_dispatch(**times, woke_at=never, now=8.9)
-    assert may_dispatch(**times, woke_at=4.0, now=8.9)
-    assert not may_dispatch(**times, woke_at=6.0, now=8.9)
-    assert not may_dispatch(**times, woke_at=never, now=9.1)
+    assert may_dispatch(**times, pause_ended_at=no_pause, now=8.9)
+    assert may_dispatch(**times, pause_ended_at=4.0, now=8.9)
+    assert not may_dispatch(**times, pause_ended_at=6.0, now=8.9)
+    assert not may_dispatch(**times, pause_ended_at=no_pause, now=9.1)
 
 
-def test_continuation_raises_the_epoch_and_keeps_the_generation():
+def test_continuation_increments_the_epoch_and_keeps_the_generation():
     claimant = Claimant(instance="n7", incarnation=3)
-    moved = raise_epoch(make_row(0, 1), claimant=claimant, server="s2")
-    assert (moved["epoch"], moved["owner"], moved["server"]) == (2, "n7", "s2")
-    assert moved["generation"] == "0" * 8
-    verdict = judge_claim(moved, claimant=claimant, digest=DIGEST, inserted_now=True)
-    assert verdict is ClaimVerdict.ATTACH
+    continued = build_continuation_claim(make_row(0, 1), claimant=claimant, server="s2")
+    assert (continued["epoch"], continued["owner"], continued["server"]) == (
+        2,
+        "n7",
+        "s2",
+    )
+    assert continued["generation"] == "0" * 8
+    decision = evaluate_claim(
+        continued, claimant=claimant, digest=DIGEST, inserted_by_submission=True
+    )
+    assert decision is ClaimDecision.ATTACH
--- a/tests/decisions/test_configuration_entries.py
+++ b/tests/decisions/test_configuration_entries.py
@@ -6,11 +6,11 @@
 from ebonyhaven_decisions import (
     MAX_ENTRY_BYTES,
     ConfigurationEntry,
+    parse_configuration_entry,
     parse_declaration,
-    parse_entry,
 )
 
-WORKSPACES = 920
+TARGET_WORKSPACES = 920
 MODELS = 10
 
 
@@ -42,11 +42,11 @@
 def test_entry_survives_serialization():
     entry = make_entry(2)
     assert "declaration" in entry.serialize()
-    assert parse_entry(entry.serialize()) == entry
+    assert parse_configuration_entry(entry.serialize()) == entry
 
 
 def test_entry_of_target_size_fits_a_row():
-    entry = make_entry(WORKSPACES)
+    entry = make_entry(TARGET_WORKSPACES)
     value = json.dumps(entry.serialize())
     assert len(value) <= MAX_ENTRY_BYTES
-    assert parse_entry(json.loads(value)) == entry
+    assert parse_configuration_entry(json.loads(value)) == entry
--- a/tests/decisions/test_configuration_exploration.py
+++ b/tests/decisions/test_configuration_exploration.py
@@ -1,7 +1,8 @@
-"""Explores three instances that learn configurations from a table and each other.
+"""Exhaustive exploration of configuration updates on three instances.
 
-Reads of the table and reports of peers arrive late, instances are replaced, and
-the table goes out for good at any moment.
+Instances learn versions from the table and from each other. Responses of the table
+and reports of peers may be delayed, instances may be replaced, and the table may
+become permanently unavailable at any time.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
     observe_table,
 )
 
-from tests.decisions.exploration import Exploration, Step, explore
+from tests.decisions.exploration import Exploration, Transition, explore
 
-INSTANCES = 3
-LAST_VERSION = 2
+INSTANCE_COUNT = 3
+MAX_VERSION = 2
 ENTRIES = {
     version: ConfigurationEntry(
         version=version,
@@ -29,18 +30,18 @@
         accepted_at=0.0,
         declaration={},
     )
-    for version in range(1, LAST_VERSION + 1)
+    for version in range(1, MAX_VERSION + 1)
 }
 
 
 class Member(NamedTuple):
     incarnation: int
     version: int
-    highest: int
+    highest_version: int
     reports: tuple[tuple[str, int], ...]
     candidate: int
-    floor: int
-    went_back: bool = False
+    lowest_allowed_version: int
+    was_downgraded: bool = False
 
 
 class Message(NamedTuple):
@@ -54,41 +55,41 @@
     restarts: int
     members: tuple[Member, ...]
     majority_version: int
-    late_report: Message | None = None
-    late_read: tuple[int, int] | None = None
+    delayed_report: Message | None = None
+    delayed_read: tuple[int, int] | None = None
 
 
 class Rules(NamedTuple):
     observe_peer: Callable = observe_peer
     observe_table: Callable = observe_table
-    most_restarts: int = 1
-    late_messages: bool = True
+    max_restarts: int = 1
+    delayed_messages: bool = True
 
 
-def make_initial() -> State:
+def make_initial_state() -> State:
     started = Member(1, 1, 1, (), 0, 0)
-    return State(1, False, 0, (started,) * INSTANCES, 1)
+    return State(1, False, 0, (started,) * INSTANCE_COUNT, 1)
 
 
-def load_view(member: Member) -> ConfigurationView:
+def make_view(member: Member) -> ConfigurationView:
     return ConfigurationView(
         incarnation=member.incarnation,
         entry=ENTRIES.get(member.version),
-        highest_version=member.highest,
+        highest_version=member.highest_version,
         reports=dict(member.reports),
         candidate=ENTRIES.get(member.candidate),
     )
 
 
-def store_view(member: Member, view: ConfigurationView) -> Member:
+def update_member(member: Member, view: ConfigurationView) -> Member:
     changed = view.version != member.version
-    lowest = max(member.floor, member.version)
+    minimum = max(member.lowest_allowed_version, member.version)
     return member._replace(
         version=view.version,
-        highest=view.highest_version,
+        highest_version=view.highest_version,
         reports=tuple(sorted(view.reports.items())),
         candidate=view.candidate.version if view.candidate else 0,
-        went_back=changed and view.version < lowest,
+        was_downgraded=changed and view.version < minimum,
     )
 
 
@@ -96,115 +97,143 @@
     members = list(state.members)
     members[index] = member
     versions = sorted((item.version for item in members), reverse=True)
-    in_force = versions[INSTANCES // 2]
-    majority = max(state.majority_version, in_force)
-    return state._replace(members=tuple(members), majority_version=majority)
+    active_on_majority = versions[INSTANCE_COUNT // 2]
+    majority_version = max(state.majority_version, active_on_majority)
+    return state._replace(members=tuple(members), majority_version=majority_version)
 
 
-def receive_report(state: State, message: Message, rules: Rules) -> State:
-    peer, version, highest, answers = message.report
-    report = PeerReport(peer, version, highest, ENTRIES.get(version), answers)
+def apply_report(state: State, message: Message, rules: Rules) -> State:
+    peer, version, highest_version, in_reply_to = message.report
+    report = PeerReport(
+        peer, version, highest_version, ENTRIES.get(version), in_reply_to
+    )
     member = state.members[message.receiver]
-    view = rules.observe_peer(load_view(member), report, listed_instances=INSTANCES)
-    return replace_member(state, message.receiver, store_view(member, view))
+    view = rules.observe_peer(
+        make_view(member), report, listed_instances=INSTANCE_COUNT
+    )
+    return replace_member(state, message.receiver, update_member(member, view))
 
 
-def receive_read(state: State, index: int, version: int, rules: Rules) -> State:
+def apply_read(state: State, index: int, version: int, rules: Rules) -> State:
     member = state.members[index]
-    view = rules.observe_table(load_view(member), ENTRIES[version])
-    return replace_member(state, index, store_view(member, view))
+    view = rules.observe_table(make_view(member), ENTRIES[version])
+    return replace_member(state, index, update_member(member, view))
 
 
-def has_no_late_message(state: State) -> bool:
-    return state.late_read is None and state.late_report is None
+def has_no_delayed_message(state: State) -> bool:
+    return state.delayed_read is None and state.delayed_report is None
 
 
-def list_table_steps(state: State, rules: Rules) -> Iterator[Step]:
-    if state.late_read is not None:
-        index, version = state.late_read
-        arrived = state._replace(late_read=None)
-        yield Step(f"late read {index}", receive_read(arrived, index, version, rules))
+def list_table_transitions(state: State, rules: Rules) -> Iterator[Transition]:
+    if state.delayed_read is not None:
+        index, version = state.delayed_read
+        received = state._replace(delayed_read=None)
+        yield Transition(
+            f"late read {index}", apply_read(received, index, version, rules)
+        )
     if state.outage:
         return
-    yield Step("outage", state._replace(outage=True))
-    if state.table_version < LAST_VERSION:
-        yield Step("accept", state._replace(table_version=state.table_version + 1))
-    for index in range(INSTANCES):
-        read = receive_read(state, index, state.table_version, rules)
-        yield Step(f"read {index}", read)
-        if rules.late_messages and has_no_late_message(state):
-            late = (index, state.table_version)
-            yield Step(f"start read {index}", state._replace(late_read=late))
-
-
-def list_peer_steps(state: State, rules: Rules) -> Iterator[Step]:
-    if state.late_report is not None:
-        arrived = state._replace(late_report=None)
-        report = receive_report(arrived, state.late_report, rules)
-        yield Step("late report", report)
+    yield Transition("outage", state._replace(outage=True))
+    if state.table_version < MAX_VERSION:
+        yield Transition(
+            "accept", state._replace(table_version=state.table_version + 1)
+        )
+    for index in range(INSTANCE_COUNT):
+        read = apply_read(state, index, state.table_version, rules)
+        yield Transition(f"read {index}", read)
+        if rules.delayed_messages and has_no_delayed_message(state):
+            delayed = (index, state.table_version)
+            yield Transition(
+                f"start read {index}", state._replace(delayed_read=delayed)
+            )
+
+
+def list_peer_transitions(state: State, rules: Rules) -> Iterator[Transition]:
+    if state.delayed_report is not None:
+        received = state._replace(delayed_report=None)
+        report = apply_report(received, state.delayed_report, rules)
+        yield Transition("late report", report)
     for sender, member in enumerate(state.members):
-        for receiver in range(INSTANCES):
+        for receiver in range(INSTANCE_COUNT):
             if receiver == sender:
                 continue
-            answers = state.members[receiver].incarnation
-            report = (str(sender), member.version, member.highest, answers)
+            in_reply_to = state.members[receiver].incarnation
+            report = (str(sender), member.version, member.highest_version, in_reply_to)
             message = Message(receiver, report)
             name = f"report {sender} to {receiver}"
-            yield Step(name, receive_report(state, message, rules))
-            if rules.late_messages and has_no_late_message(state):
-                yield Step(f"start {name}", state._replace(late_report=message))
+            yield Transition(name, apply_report(state, message, rules))
+            if rules.delayed_messages and has_no_delayed_message(state):
+                yield Transition(
+                    f"start {name}", state._replace(delayed_report=message)
+                )
 
 
-def list_steps(state: State, rules: Rules) -> Iterator[Step]:
-    yield from list_table_steps(state, rules)
-    yield from list_peer_steps(state, rules)
-    if state.restarts == rules.most_restarts:
+def list_transitions(state: State, rules: Rules) -> Iterator[Transition]:
+    yield from list_table_transitions(state, rules)
+    yield from list_peer_transitions(state, rules)
+    if state.restarts == rules.max_restarts:
         return
     for index, member in enumerate(state.members):
-        fresh = Member(member.incarnation + 1, 0, 0, (), 0, state.majority_version)
-        replaced = replace_member(state, index, fresh)
-        late_read = state.late_read
-        lost_read = None if late_read and late_read[0] == index else late_read
-        restarted = replaced._replace(restarts=state.restarts + 1, late_read=lost_read)
-        yield Step(f"replace {index}", restarted)
+        restarted_member = Member(
+            member.incarnation + 1, 0, 0, (), 0, state.majority_version
+        )
+        replaced = replace_member(state, index, restarted_member)
+        delayed_read = state.delayed_read
+        lost_read = None if delayed_read and delayed_read[0] == index else delayed_read
+        restarted = replaced._replace(
+            restarts=state.restarts + 1, delayed_read=lost_read
+        )
+        yield Transition(f"replace {index}", restarted)
 
 
-def holds(state: State) -> bool:
-    return not any(member.went_back for member in state.members)
+def has_no_downgrade(state: State) -> bool:
+    return not any(member.was_downgraded for member in state.members)
 
 
 def explore_rules(rules: Rules) -> Exploration:
-    return explore(make_initial(), lambda state: list_steps(state, rules), holds)
+    return explore(
+        make_initial_state(),
+        lambda state: list_transitions(state, rules),
+        has_no_downgrade,
+    )
 
 
-def test_no_instance_goes_back():
+def test_active_version_is_never_downgraded():
     result = explore_rules(Rules())
     assert result.violation is None
     assert result.states > 1_000
 
 
-def test_no_instance_goes_back_when_two_are_replaced():
-    rules = Rules(most_restarts=2, late_messages=False)
+def test_active_version_is_never_downgraded_with_two_restarts():
+    rules = Rules(max_restarts=2, delayed_messages=False)
     assert explore_rules(rules).violation is None
 
 
-def test_trusting_one_peer_is_caught():
-    def observe_one(view, report, *, listed_instances):
+def test_exploration_detects_a_quorum_of_one():
+    def observe_with_quorum_of_one(view, report, *, listed_instances):
         return observe_peer(view, report, listed_instances=1)
 
-    assert explore_rules(Rules(observe_peer=observe_one)).violation is not None
+    assert (
+        explore_rules(Rules(observe_peer=observe_with_quorum_of_one)).violation
+        is not None
+    )
 
 
-def test_counting_reports_from_before_the_start_is_caught():
-    def observe_any(view, report, *, listed_instances):
-        fresh = report._replace(answers=view.incarnation)
-        return observe_peer(view, fresh, listed_instances=listed_instances)
+def test_exploration_detects_counting_replies_to_an_earlier_incarnation():
+    def observe_as_current_reply(view, report, *, listed_instances):
+        current_reply = report._replace(in_reply_to=view.incarnation)
+        return observe_peer(view, current_reply, listed_instances=listed_instances)
 
-    assert explore_rules(Rules(observe_peer=observe_any)).violation is not None
+    assert (
+        explore_rules(Rules(observe_peer=observe_as_current_reply)).violation
+        is not None
+    )
 
 
-def test_taking_any_read_of_the_table_is_caught():
-    def observe_any(view, entry):
+def test_exploration_detects_activation_of_stale_reads():
+    def observe_without_state(view, entry):
         return observe_table(ConfigurationView(incarnation=view.incarnation), entry)
 
-    assert explore_rules(Rules(observe_table=observe_any)).violation is not None
+    assert (
+        explore_rules(Rules(observe_table=observe_without_state)).violation is not None
+    )
--- a/tests/decisions/test_declarations.py
+++ b/tests/decisions/test_declarations.py
@@ -50,7 +50,7 @@
     return []
 
 
-def test_declaration_is_typed():
+def test_declaration_is_parsed_into_typed_objects():
     declaration = parse_declaration(DOCUMENT)
     assert declaration.default_class.name == "analysis"
     assert declaration.pools["drafting"].kind is PoolKind.ENGINE
@@ -59,7 +59,7 @@
     assert parse_declaration(declaration.serialize()) == declaration
 
 
-def test_each_fault_names_path_and_value():
+def test_problem_states_path_and_value():
     cases = [
         (
             "classes/look-up/first_token_ms",
@@ -85,7 +85,7 @@
             "classes/look-up/default",
             True,
             "classes.analysis.default: expected one default class, "
-            "look-up is one already",
+            "look-up is already the default",
         ),
         ("classes/look-up", 3, "classes.look-up: expected an object, got 3"),
         ("pools/drafting/weight", 3, "pools.drafting.weight: unknown key"),
@@ -120,7 +120,7 @@
         assert describe_problems(change_document(path, value)) == [expected], path
 
 
-def test_all_faults_are_reported_at_once():
+def test_all_problems_are_reported_together():
     document = change_document("classes/look-up/gap_ms", -1)
     document["models"]["bad name"] = {}
     assert len(describe_problems(document)) == 2
@@ -135,5 +135,5 @@
     ]
     removed = parse_declaration(change_document("workspaces/studio-b", None))
     assert [change.path for change in diff(before, removed)] == ["workspaces.studio-b"]
-    spelled_out = change_document("classes/look-up/default", False)
-    assert diff(before, parse_declaration(spelled_out)) == ()
+    explicit_default = change_document("classes/look-up/default", False)
+    assert diff(before, parse_declaration(explicit_default)) == ()
--- a/tests/decisions/test_lease_exploration.py
+++ b/tests/decisions/test_lease_exploration.py
@@ -1,7 +1,8 @@
-"""Explores two instances, one lease and one backend server that ignores fences.
+"""Exhaustive exploration of a lease with two instances.
 
-Writes commit late, answers are lost, instances stop between any two actions and
-orders arrive up to the allowed pause after the check that preceded them.
+The backend server ignores fencing numbers. Writes may be committed late, their
+responses may be lost, instances may be paused between any two actions, and an order
+may arrive up to the longest allowed pause after the check before it.
 """
 
 from __future__ import annotations
@@ -12,29 +13,31 @@
 from ebonyhaven_decisions import (
     LeaseAction,
     LeaseRow,
-    LeaseTerms,
+    LeaseTiming,
     LeaseView,
+    build_lease_row,
     confirm_lease,
-    decide_lease,
-    draft_row,
+    decide_lease_action,
     is_held,
     may_order,
     observe_lease,
 )
 
-from tests.decisions.exploration import Exploration, Step, explore
+from tests.decisions.exploration import Exploration, Transition, explore
 
-TERMS = LeaseTerms(duration_s=2.0, renew_after_s=1.0, margin_s=0.0, rate_error=0.0)
-PAUSE_S = 1.0
+TIMING = LeaseTiming(
+    duration_s=2.0, renew_after_s=1.0, safety_margin_s=0.0, max_clock_drift_ratio=0.0
+)
+LONGEST_PAUSE_S = 1.0
 HORIZON_S = 4.0
-LAST_VERSION = 3
+MAX_VERSION = 3
 
 
-class Flight(NamedTuple):
+class PendingWrite(NamedTuple):
     row: LeaseRow
-    base: int
+    expected_version: int
     sent_at: float
-    committed: int = -1
+    committed_version: int = -1
 
 
 class Order(NamedTuple):
@@ -44,7 +47,7 @@
 
 class Member(NamedTuple):
     view: LeaseView
-    flight: Flight | None = None
+    pending_write: PendingWrite | None = None
     order: Order | None = None
 
 
@@ -53,17 +56,17 @@
     row: LeaseRow | None
     version: int
     members: tuple[Member, ...]
-    executed_fence: int = 0
-    stale_order_ran: bool = False
+    highest_executed_fence: int = 0
+    stale_order_executed: bool = False
 
 
 class Rules(NamedTuple):
     confirm: Callable = confirm_lease
-    decide: Callable = decide_lease
+    decide: Callable = decide_lease_action
     may_order: Callable = may_order
 
 
-def make_initial() -> State:
+def make_initial_state() -> State:
     members = tuple(Member(LeaseView(owner=name, incarnation=1)) for name in "ab")
     return State(0.0, None, 0, members)
 
@@ -74,103 +77,123 @@
     return state._replace(members=tuple(members))
 
 
-def list_write_steps(state: State, index: int, rules: Rules) -> Iterator[Step]:
+def list_write_transitions(
+    state: State, index: int, rules: Rules
+) -> Iterator[Transition]:
     member = state.members[index]
-    view, flight, now = member.view, member.flight, state.now
-    if flight is None:
+    view, pending_write, now = member.view, member.pending_write, state.now
+    if pending_write is None:
         if state.version > view.row_version:
             seen = observe_lease(view, state.row, state.version, now)
-            yield Step("read", replace_member(state, index, member._replace(view=seen)))
-        action = rules.decide(view, TERMS, now)
-        if action is not LeaseAction.WAIT and state.version < LAST_VERSION:
-            row = draft_row(view, action, TERMS, 0.0)
-            sent = Flight(row, view.row_version, now)
-            yield Step(
-                "send", replace_member(state, index, member._replace(flight=sent))
+            yield Transition(
+                "read", replace_member(state, index, member._replace(view=seen))
+            )
+        action = rules.decide(view, TIMING, now)
+        if action is not LeaseAction.WAIT and state.version < MAX_VERSION:
+            row = build_lease_row(view, action, TIMING, 0.0)
+            new_write = PendingWrite(row, view.row_version, now)
+            yield Transition(
+                "send",
+                replace_member(state, index, member._replace(pending_write=new_write)),
             )
-    elif flight.committed >= 0:
-        dropped = member._replace(flight=None)
-        yield Step("lose answer", replace_member(state, index, dropped))
+    elif pending_write.committed_version >= 0:
+        without_write = member._replace(pending_write=None)
+        yield Transition("lose answer", replace_member(state, index, without_write))
         confirmed = rules.confirm(
-            view, flight.row, flight.committed, TERMS, sent_at=flight.sent_at, now=now
+            view,
+            pending_write.row,
+            pending_write.committed_version,
+            TIMING,
+            sent_at=pending_write.sent_at,
+            now=now,
         )
-        answered = member._replace(view=confirmed, flight=None)
-        yield Step("answer", replace_member(state, index, answered))
-    elif flight.base == state.version:
+        confirmed_member = member._replace(view=confirmed, pending_write=None)
+        yield Transition("answer", replace_member(state, index, confirmed_member))
+    elif pending_write.expected_version == state.version:
         version = state.version + 1
-        landed = member._replace(flight=flight._replace(committed=version))
-        committed = replace_member(state, index, landed)
-        yield Step("commit", committed._replace(row=flight.row, version=version))
+        committed_member = member._replace(
+            pending_write=pending_write._replace(committed_version=version)
+        )
+        committed = replace_member(state, index, committed_member)
+        yield Transition(
+            "commit", committed._replace(row=pending_write.row, version=version)
+        )
     else:
-        dropped = member._replace(flight=None)
-        yield Step("refuse", replace_member(state, index, dropped))
+        without_write = member._replace(pending_write=None)
+        yield Transition("refuse", replace_member(state, index, without_write))
 
 
-def list_order_steps(state: State, index: int, rules: Rules) -> Iterator[Step]:
+def list_order_transitions(
+    state: State, index: int, rules: Rules
+) -> Iterator[Transition]:
     member = state.members[index]
     order = member.order
     if order is None:
-        if rules.may_order(member.view, state.now, longest_pause_s=PAUSE_S):
+        if rules.may_order(member.view, state.now, longest_pause_s=LONGEST_PAUSE_S):
             checked = Order(member.view.fence, state.now)
-            yield Step(
+            yield Transition(
                 "check", replace_member(state, index, member._replace(order=checked))
             )
         return
     delivered = replace_member(state, index, member._replace(order=None))
-    if state.now - order.checked_at > PAUSE_S:
-        yield Step("drop order", delivered)
+    if state.now - order.checked_at > LONGEST_PAUSE_S:
+        yield Transition("drop order", delivered)
         return
-    yield Step(
+    yield Transition(
         "order",
         delivered._replace(
-            executed_fence=max(order.fence, state.executed_fence),
-            stale_order_ran=order.fence < state.executed_fence,
+            highest_executed_fence=max(order.fence, state.highest_executed_fence),
+            stale_order_executed=order.fence < state.highest_executed_fence,
         ),
     )
 
 
-def list_steps(state: State, rules: Rules) -> Iterator[Step]:
+def list_transitions(state: State, rules: Rules) -> Iterator[Transition]:
     if state.now < HORIZON_S:
-        yield Step("tick", state._replace(now=state.now + 1))
+        yield Transition("tick", state._replace(now=state.now + 1))
     for index in range(len(state.members)):
         name = "ab"[index]
-        for step in list_write_steps(state, index, rules):
-            yield Step(f"{name}: {step.action}", step.state)
-        for step in list_order_steps(state, index, rules):
-            yield Step(f"{name}: {step.action}", step.state)
+        for transition in list_write_transitions(state, index, rules):
+            yield Transition(f"{name}: {transition.action}", transition.state)
+        for transition in list_order_transitions(state, index, rules):
+            yield Transition(f"{name}: {transition.action}", transition.state)
 
 
-def holds(state: State) -> bool:
+def is_safe(state: State) -> bool:
     held = [is_held(member.view, state.now) for member in state.members]
-    return sum(held) <= 1 and not state.stale_order_ran
+    return sum(held) <= 1 and not state.stale_order_executed
 
 
 def explore_rules(rules: Rules) -> Exploration:
-    return explore(make_initial(), lambda state: list_steps(state, rules), holds)
+    return explore(
+        make_initial_state(), lambda state: list_transitions(state, rules), is_safe
+    )
 
 
-def test_lease_has_one_holder_and_no_order_of_an_earlier_one_comes_late():
+def test_lease_has_one_holder_and_no_stale_order_is_executed():
     result = explore_rules(Rules())
     assert result.violation is None
     assert result.states > 10_000
 
 
-def test_counting_from_the_confirmation_is_caught():
-    def confirm_from_answer(view, row, version, terms, *, sent_at, now):
-        return confirm_lease(view, row, version, terms, sent_at=now, now=now)
+def test_exploration_detects_a_lease_counted_from_the_confirmation():
+    def confirm_from_response_time(view, row, version, timing, *, sent_at, now):
+        return confirm_lease(view, row, version, timing, sent_at=now, now=now)
 
-    assert explore_rules(Rules(confirm=confirm_from_answer)).violation is not None
+    assert (
+        explore_rules(Rules(confirm=confirm_from_response_time)).violation is not None
+    )
 
 
-def test_taking_over_early_is_caught():
-    def decide_early(view, terms, now):
-        return decide_lease(view, terms, now + 1.0)
+def test_exploration_detects_an_early_takeover():
+    def decide_early(view, timing, now):
+        return decide_lease_action(view, timing, now + 1.0)
 
     assert explore_rules(Rules(decide=decide_early)).violation is not None
 
 
-def test_ordering_at_once_after_a_takeover_is_caught():
-    def may_order_at_once(view, now, *, longest_pause_s):
+def test_exploration_detects_an_order_right_after_a_takeover():
+    def may_order_without_delay(view, now, *, longest_pause_s):
         return may_order(view, now, longest_pause_s=0.0)
 
-    assert explore_rules(Rules(may_order=may_order_at_once)).violation is not None
+    assert explore_rules(Rules(may_order=may_order_without_delay)).violation is not None
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -7,7 +7,7 @@
     ClassTargets,
     FailureKind,
     RefusalReason,
-    Scheduling,
+    SchedulingAlgorithm,
     build_scheduler,
     derive_policies,
 )
@@ -177,7 +177,10 @@
 
 
 def test_baselines_dispatch_immediately_in_order_of_arrival():
-    for scheduling in (Scheduling.ROUND_ROBIN, Scheduling.LEAST_CONNECTIONS):
+    for scheduling in (
+        SchedulingAlgorithm.ROUND_ROBIN,
+        SchedulingAlgorithm.LEAST_CONNECTIONS,
+    ):
         scheduler = build_scheduler(
             scheduling,
             POLICIES,
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -8,7 +8,7 @@
 import uuid
 from typing import Any
 
-from ebonyhaven_decisions import LeaseTerms
+from ebonyhaven_decisions import LeaseTiming
 from ebonyhaven_standins.cluster import Cluster
 
 from tests.integration.test_configuration import DECLARATION
@@ -118,8 +118,8 @@
             lambda: self.lease()["fence"] > first["fence"],
             deadline_s=TAKEOVER_DEADLINE_S,
         )
-        renewals_s = LeaseTerms().renew_after_s + 2.0
-        earliest_s = LeaseTerms().duration_s - renewals_s
+        renewals_s = LeaseTiming().renew_after_s + 2.0
+        earliest_s = LeaseTiming().duration_s - renewals_s
         assert time.monotonic() - paused_at >= earliest_s
         return first
 
@@ -170,6 +170,6 @@
         took_s = wait_until(
             lambda: ordering.lease()["holder"] not in {"", first["holder"]}
         )
-        assert took_s < LeaseTerms().duration_s
+        assert took_s < LeaseTiming().duration_s
         ordering.add_version("2")
         ordering.wait_for_versions()
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -2,7 +2,7 @@
 
 import random
 
-from ebonyhaven_decisions import CURRENT_KEY, ConfigurationEntry
+from ebonyhaven_decisions import CURRENT_CONFIGURATION_KEY, ConfigurationEntry
 from ebonyhaven_node._configuration import (
     ASK_BATCH,
     SHORTEST_PERIOD_S,
@@ -40,7 +40,7 @@
         self.row: Row | None = None
 
     def write(self, value: object, version: int) -> None:
-        self.row = Row(CURRENT_KEY, value, version)
+        self.row = Row(CURRENT_CONFIGURATION_KEY, value, version)
 
     def read_changes(self, since: int, *, prefix: str) -> Deferred[RowSet]:
         if self.row is None:
--- a/tests/node/test_leases.py
+++ b/tests/node/test_leases.py
@@ -2,7 +2,7 @@
 
 import random
 
-from ebonyhaven_decisions import LeaseTerms
+from ebonyhaven_decisions import LeaseTiming
 from ebonyhaven_node._guarded_body import GuardedBody, GuardError
 from ebonyhaven_node._leases import (
     Candidacy,
@@ -19,7 +19,7 @@
 from tests.reactor_thread import run_in_reactor
 from tests.store_client.platform_process import run_platform, set_faults
 
-TERMS = LeaseTerms(duration_s=600.0, renew_after_s=0.01, margin_s=1.0)
+TERMS = LeaseTiming(duration_s=600.0, renew_after_s=0.01, safety_margin_s=1.0)
 LOST_ANSWERS = 3
 
 
--- a/tests/node/test_policy_scheduling.py
+++ b/tests/node/test_policy_scheduling.py
@@ -6,7 +6,7 @@
     Locality,
     OutcomeTag,
     RequestFailure,
-    Scheduling,
+    SchedulingAlgorithm,
     build_scheduler,
     parse_declaration,
 )
@@ -53,7 +53,7 @@
     known = BackendServers()
     scheduling = PolicyScheduling(
         scheduler=build_scheduler(
-            Scheduling.FAIR,
+            SchedulingAlgorithm.FAIR,
             {},
             place=Locality("dc-a", "r1"),
             random_source=random.Random(1),
--- a/tests/node/test_runs.py
+++ b/tests/node/test_runs.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from ebonyhaven_decisions import BEFORE_FIRST, EventId
+from ebonyhaven_decisions import OFFSET_BEFORE_FIRST_TOKEN, EventId
 from ebonyhaven_node._requests import GenerationRequest
 from ebonyhaven_node._runs import Run
 
@@ -41,5 +41,5 @@
 
 
 def test_caller_without_a_token_joins_a_run_that_was_started_again():
-    assert make_run().holds(EventId(BEFORE_FIRST, OTHER, "s9"))
-    assert make_run("abc").holds(EventId(BEFORE_FIRST, OTHER, "s9"))
+    assert make_run().holds(EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9"))
+    assert make_run("abc").holds(EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9"))
