--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/__init__.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/__init__.py
@@ -5,26 +5,23 @@
     BackendEntry,
     BackendState,
 )
-from ebonyhaven_decisions.forwarding._budget import RepeatBudget
-from ebonyhaven_decisions.forwarding._directory import BackendDirectory
-from ebonyhaven_decisions.forwarding._pace import (
-    RECHECK_S,
-    AnswerTimes,
-    PrefillRate,
-    SilenceLimits,
-    limit_first_event,
-    limit_gap,
+from ebonyhaven_decisions.forwarding._budget import ServiceRetryBudget
+from ebonyhaven_decisions.forwarding._copy_index import (
+    RunCopyIndex,
+    RunCopyLocation,
+    choose_index_instances,
 )
+from ebonyhaven_decisions.forwarding._directory import BackendDirectory
 from ebonyhaven_decisions.forwarding._placement import (
     EngineUse,
-    Need,
-    PeerUse,
+    PeerEngineUse,
+    TokenDemand,
     choose_copy_holder,
     choose_engine,
-    count_prompt_tokens,
-    has_room,
+    count_queued_prefill_tokens,
+    fits_in_memory,
     is_prompt_admitted,
-    rank_engines,
+    select_preferred_engines,
 )
 from ebonyhaven_decisions.forwarding._routes import (
     CallerLimits,
@@ -37,16 +34,19 @@
     Workspace,
     group_routes,
 )
-from ebonyhaven_decisions.forwarding._run_places import (
-    RunPlace,
-    RunPlaces,
-    choose_keepers,
-)
 from ebonyhaven_decisions.forwarding._selection import choose_backend
+from ebonyhaven_decisions.forwarding._stream_timing import (
+    SERVER_PROBE_INTERVAL_S,
+    PrefillRate,
+    SilenceLimits,
+    StreamDurations,
+    compute_first_event_limits,
+    compute_gap_limits,
+)
 
 __all__ = [
-    "RECHECK_S",
-    "AnswerTimes",
+    "SERVER_PROBE_INTERVAL_S",
+    "StreamDurations",
     "Backend",
     "BackendDirectory",
     "BackendEntry",
@@ -54,15 +54,15 @@
     "CallerLimits",
     "EngineTraits",
     "EngineUse",
-    "Need",
-    "PeerUse",
+    "TokenDemand",
+    "PeerEngineUse",
     "PrefillRate",
-    "RepeatBudget",
+    "ServiceRetryBudget",
     "RequestKind",
     "Route",
     "RoutingConfiguration",
-    "RunPlace",
-    "RunPlaces",
+    "RunCopyLocation",
+    "RunCopyIndex",
     "Service",
     "ServiceShare",
     "SilenceLimits",
@@ -70,12 +70,12 @@
     "choose_backend",
     "choose_copy_holder",
     "choose_engine",
-    "choose_keepers",
-    "count_prompt_tokens",
+    "choose_index_instances",
+    "count_queued_prefill_tokens",
     "group_routes",
-    "has_room",
+    "fits_in_memory",
     "is_prompt_admitted",
-    "limit_first_event",
-    "limit_gap",
-    "rank_engines",
+    "compute_first_event_limits",
+    "compute_gap_limits",
+    "select_preferred_engines",
 ]
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_backends.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_backends.py
@@ -67,7 +67,7 @@
         it still has to read.
     suspect_until : float
         Seconds; no new work before.
-    heard_at : float
+    last_received_at : float
         When the last byte came from it, seconds.
     """
 
@@ -120,7 +120,7 @@
             return False
         return self.failures == 0 or self.in_flight == 0
 
-    def is_usable_for_copy(self, now: float) -> bool:
+    def can_resume_from_copy(self, now: float) -> bool:
         """Tell whether a run may go on from a copy that it holds.
 
         Parameters
@@ -130,7 +130,7 @@
         """
         return self.removed_at is None and now >= self.suspect_until
 
-    def is_last_resort(self, now: float) -> bool:
+    def is_usable_after_removal(self, now: float) -> bool:
         """Tell whether it may serve although its entry is gone.
 
         Entries can lapse while the store is away; the process then still serves.
@@ -168,7 +168,7 @@
         """
         self.suspect_until = max(self.suspect_until, now + REPLACED_S)
 
-    def record_heard(self, now: float) -> None:
+    def record_received(self, now: float) -> None:
         """Take note that bytes of an answer came.
 
         Parameters
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_budget.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_budget.py
@@ -25,7 +25,7 @@
     repeats: int = 0
 
 
-class RepeatBudget:
+class ServiceRetryBudget:
     """Share of this instance in what all instances may repeat.
 
     The bound holds for any span of a window's length over all instances
@@ -62,7 +62,7 @@
         """
         self._bucket(service, now).requests += 1
 
-    def take_repeat(self, service: str, now: float) -> bool:
+    def acquire_retry(self, service: str, now: float) -> bool:
         """Spend one repeat.
 
         Parameters
@@ -86,7 +86,7 @@
         bucket.repeats += 1
         return True
 
-    def give_back(self, service: str, now: float) -> None:
+    def refund_retry(self, service: str, now: float) -> None:
         """Take back a repeat that never reached a server.
 
         Parameters
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_run_places.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_copy_index.py
@@ -12,11 +12,11 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-KEEPERS = 3  # instances that know of a copy; each costs a message for each run
-PLACES_MAX = 4096  # some hundred bytes each
+INDEX_REPLICAS = 3  # instances that know of a copy; each costs a message for each run
+MAX_INDEX_ENTRIES = 4096  # some hundred bytes each
 
 
-class RunPlace(NamedTuple):
+class RunCopyLocation(NamedTuple):
     """Copy of a run's memory.
 
     Parameters
@@ -34,32 +34,32 @@
     handle: str
 
 
-class RunPlaces:
+class RunCopyIndex:
     """Copies that this instance was told of, the oldest dropped first.
 
     Parameters
     ----------
-    life_s : float
+    ttl_s : float
         Age at which a statement is dropped, seconds.
     """
 
     __slots__ = ("_life_s", "_places")
 
-    def __init__(self, life_s: float):
-        self._life_s = life_s
-        self._places: OrderedDict[str, tuple[float, RunPlace]] = OrderedDict()
+    def __init__(self, ttl_s: float):
+        self._life_s = ttl_s
+        self._places: OrderedDict[str, tuple[float, RunCopyLocation]] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._places)
 
-    def record(self, key: str, place: RunPlace | None, now: float) -> None:
+    def record(self, key: str, place: RunCopyLocation | None, now: float) -> None:
         """Replace what is known of a run's copy.
 
         Parameters
         ----------
         key : str
-            Identifies the run, see `choose_keepers`.
-        place : RunPlace or None
+            Identifies the run, see `choose_index_instances`.
+        place : RunCopyLocation or None
             None when there is no copy any more.
         now : float
             Seconds.
@@ -69,7 +69,7 @@
             self._places[key] = (now, place)
         self._drop_oldest(now)
 
-    def find(self, key: str, now: float) -> RunPlace | None:
+    def find(self, key: str, now: float) -> RunCopyLocation | None:
         """Return where the copy of a run is.
 
         Parameters
@@ -80,7 +80,7 @@
 
         Returns
         -------
-        RunPlace or None
+        RunCopyLocation or None
         """
         told_at, place = self._places.get(key, (now, None))
         return place if now - told_at <= self._life_s else None
@@ -88,12 +88,12 @@
     def _drop_oldest(self, now: float) -> None:
         while self._places:
             told_at, _ = next(iter(self._places.values()))
-            if len(self._places) <= PLACES_MAX and now - told_at <= self._life_s:
+            if len(self._places) <= MAX_INDEX_ENTRIES and now - told_at <= self._life_s:
                 return
             self._places.popitem(last=False)
 
 
-def choose_keepers(key: str, instances: Iterable[str]) -> list[str]:
+def choose_index_instances(key: str, instances: Iterable[str]) -> list[str]:
     """Return the instances that know of a run's copy, wherever this is asked.
 
     Parameters
@@ -107,10 +107,10 @@
     Returns
     -------
     list of str
-        At most `KEEPERS`, by rendezvous hashing.
+        At most `INDEX_REPLICAS`, by rendezvous hashing.
     """
 
     def weigh(name: str) -> bytes:
         return hashlib.blake2b(f"{key} {name}".encode(), digest_size=8).digest()
 
-    return sorted(instances, key=weigh, reverse=True)[:KEEPERS]
+    return sorted(instances, key=weigh, reverse=True)[:INDEX_REPLICAS]
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_directory.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_directory.py
@@ -120,7 +120,7 @@
             for each in self._by_id.values()
         )
 
-    def is_doubted(self, data_centre: str, now: float) -> bool:
+    def is_suspect_data_centre(self, data_centre: str, now: float) -> bool:
         """Tell whether a server of a data centre was lost a moment ago.
 
         Servers of a data centre tend to fail together, and the loss of the next
@@ -134,7 +134,9 @@
         """
         return now - self._doubted.get(data_centre, -math.inf) < DOUBT_S
 
-    def prefer_undoubted(self, candidates: list[Backend], now: float) -> list[Backend]:
+    def avoid_suspect_data_centres(
+        self, candidates: list[Backend], now: float
+    ) -> list[Backend]:
         """Return the servers of data centres without a fresh loss, if there are any.
 
         Parameters
@@ -150,7 +152,7 @@
         calm = [
             each
             for each in candidates
-            if not self.is_doubted(each.entry.data_centre, now)
+            if not self.is_suspect_data_centre(each.entry.data_centre, now)
         ]
         return calm or candidates
 
@@ -188,10 +190,10 @@
             for each in self._leftover.values()
             if each.entry.service == service
             and each.key not in barred
-            and each.is_last_resort(now)
+            and each.is_usable_after_removal(now)
         ]
 
-    def list_doubtful(
+    def list_ready(
         self, service: str, excluded: Iterable[tuple[str, int]] = ()
     ) -> list[Backend]:
         """Return the listed servers of a service, also those under suspicion.
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_placement.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_placement.py
@@ -37,7 +37,7 @@
     prefill_tokens: int = 0
 
 
-class Need(NamedTuple):
+class TokenDemand(NamedTuple):
     """What a generation needs on an engine.
 
     Parameters
@@ -55,19 +55,19 @@
         return self.prompt_tokens + self.output_tokens
 
 
-class PeerUse:
+class PeerEngineUse:
     """What the other instances say they occupy on engines.
 
     Parameters
     ----------
-    life_s : float
+    ttl_s : float
         Age at which a statement is dropped, seconds.
     """
 
     __slots__ = ("_life_s", "_statements")
 
-    def __init__(self, life_s: float):
-        self._life_s = life_s
+    def __init__(self, ttl_s: float):
+        self._life_s = ttl_s
         self._statements: dict[str, tuple[float, Mapping[str, EngineUse]]] = {}
 
     def record(self, peer: str, uses: Mapping[str, EngineUse], now: float) -> None:
@@ -83,7 +83,7 @@
         """
         self._statements[peer] = (now, uses)
 
-    def sum_up(self, now: float) -> dict[str, EngineUse]:
+    def sum_by_server(self, now: float) -> dict[str, EngineUse]:
         """Return what all peers occupy.
 
         Parameters
@@ -118,15 +118,18 @@
     )
 
 
-def has_room(
-    backend: Backend, need: Need, memory_tokens: int, peers: Mapping[str, EngineUse]
+def fits_in_memory(
+    backend: Backend,
+    demand: TokenDemand,
+    memory_tokens: int,
+    peers: Mapping[str, EngineUse],
 ) -> bool:
     """Tell whether a generation fits beside what an engine has.
 
     Parameters
     ----------
     backend : Backend
-    need : Need
+    demand : TokenDemand
     memory_tokens : int
         Memory of the engine.
     peers : mapping of str to EngineUse
@@ -134,10 +137,12 @@
     """
     use = _estimate_use(backend, peers)
     taken = use.run_tokens + use.copy_tokens
-    return taken + need.tokens <= MEMORY_SHARE * memory_tokens
+    return taken + demand.tokens <= MEMORY_SHARE * memory_tokens
 
 
-def count_prompt_tokens(backend: Backend, peers: Mapping[str, EngineUse]) -> int:
+def count_queued_prefill_tokens(
+    backend: Backend, peers: Mapping[str, EngineUse]
+) -> int:
     """Return the tokens of prompts that an engine still has to read.
 
     Parameters
@@ -170,7 +175,9 @@
     return queue_s == 0.0 or waited_s + queue_s <= target_s
 
 
-def rank_engines(prompt_id: str, candidates: Sequence[Backend]) -> frozenset[str]:
+def select_preferred_engines(
+    prompt_id: str, candidates: Sequence[Backend]
+) -> frozenset[str]:
     """Return the engines that a prompt goes to first, wherever it arrives.
 
     A request that comes back at another instance, after the loss of its own, then
@@ -206,7 +213,7 @@
 def choose_engine(
     candidates: Sequence[Backend],
     *,
-    need: Need,
+    demand: TokenDemand,
     memory_tokens: int,
     peers: Mapping[str, EngineUse],
     rng: random.Random,
@@ -218,14 +225,14 @@
     ----------
     candidates : sequence of Backend
         Usable engines.
-    need : Need
+    demand : TokenDemand
     memory_tokens : int
         Memory of one engine.
     peers : mapping of str to EngineUse
         What other instances occupy, by server id.
     rng : random.Random
     prompt_id : str
-        See `rank_engines`; empty for none.
+        See `select_preferred_engines`; empty for none.
 
     Returns
     -------
@@ -233,11 +240,15 @@
         None when no engine has room.
     """
     fitting = [
-        each for each in candidates if has_room(each, need, memory_tokens, peers)
+        each
+        for each in candidates
+        if fits_in_memory(each, demand, memory_tokens, peers)
     ]
     if not fitting:
         return None
-    preferred = rank_engines(prompt_id, fitting) if prompt_id else frozenset()
+    preferred = (
+        select_preferred_engines(prompt_id, fitting) if prompt_id else frozenset()
+    )
 
     def estimate(backend: Backend) -> float:
         cost = _estimate_cost(_estimate_use(backend, peers), backend, rng)
@@ -250,11 +261,11 @@
     candidates: Sequence[Backend],
     *,
     source: Backend,
-    need: Need,
+    demand: TokenDemand,
     memory_tokens: int,
     peers: Mapping[str, EngineUse],
     rng: random.Random,
-    is_doubted: Callable[[str], bool] = lambda _: False,
+    is_suspect_data_centre: Callable[[str], bool] = lambda _: False,
 ) -> Backend | None:
     """Return the engine that is to hold the copy of a run.
 
@@ -268,13 +279,13 @@
         Usable engines.
     source : Backend
         Engine of the run.
-    need : Need
+    demand : TokenDemand
     memory_tokens : int
         Memory of one engine.
     peers : mapping of str to EngineUse
         What other instances occupy, by server id.
     rng : random.Random
-    is_doubted : callable
+    is_suspect_data_centre : callable
         Tells for a data centre whether it had a fresh loss.
 
     Returns
@@ -284,10 +295,12 @@
     others = [each for each in candidates if each.key != source.key]
     home = source.entry.data_centre
     elsewhere = [each for each in others if each.entry.data_centre != home]
-    calm = [each for each in elsewhere if not is_doubted(each.entry.data_centre)]
+    calm = [
+        each for each in elsewhere if not is_suspect_data_centre(each.entry.data_centre)
+    ]
     for group in (calm, elsewhere, others):
         chosen = choose_engine(
-            group, need=need, memory_tokens=memory_tokens, peers=peers, rng=rng
+            group, demand=demand, memory_tokens=memory_tokens, peers=peers, rng=rng
         )
         if chosen is not None:
             return chosen
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_routes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_routes.py
@@ -69,7 +69,7 @@
     is_resumable: bool
 
     @property
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether a request that may have run may be sent again."""
         if self.kind is RequestKind.STREAM:
             return self.is_resumable
@@ -85,19 +85,19 @@
         Requests in one batch.
     memory_tokens : int
         Tokens that the memory of one engine holds.
-    copies_runs : bool
+    copies_continuously : bool
         Whether an engine sends the memory of a run to another one as it grows.
-    moves_runs : bool
+    copies_on_request : bool
         Whether an engine copies the memory of a run when asked.
-    copy_life_s : float
+    copy_ttl_s : float
         How long a copy stays without news of its run.
     """
 
     slots: int
     memory_tokens: int
-    copies_runs: bool
-    moves_runs: bool = False
-    copy_life_s: float = 4.0
+    copies_continuously: bool
+    copies_on_request: bool = False
+    copy_ttl_s: float = 4.0
 
 
 class Service(NamedTuple):
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_pace.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_stream_timing.py
@@ -13,7 +13,7 @@
 CHECK_MIN_SHARE = 0.3  # of the target for a first event
 FIRST_EVENT_FACTOR = 2.5  # over the estimate
 FIRST_EVENT_MIN_SHARE = 0.6  # of the target; a second try still has to fit
-RECHECK_S = 0.5  # between two checks of a server that accepts connections
+SERVER_PROBE_INTERVAL_S = 0.5  # between two checks of a server that accepts connections
 DEFAULT_GAP_S = 1.0  # for routes without a target for pauses
 DEFAULT_TOKENS_PER_S = 8000.0
 SMOOTHING = 0.1
@@ -60,7 +60,7 @@
 
 
 @attrs.define(slots=True)
-class AnswerTimes:
+class StreamDurations:
     """How long whole answers of one route take, from own observations.
 
     All are 0 until the first one, so that nothing is ruled out without evidence.
@@ -69,30 +69,30 @@
     ----------
     first_event_s : float
         From the sending of a request to its first event.
-    rest_s : float
+    streaming_s : float
         From the first event to the end.
     events : float
     """
 
     first_event_s: float = 0.0
-    rest_s: float = 0.0
+    streaming_s: float = 0.0
     events: float = 0.0
 
-    def record(self, *, first_event_s: float, rest_s: float, events: int) -> None:
+    def record(self, *, first_event_s: float, streaming_s: float, events: int) -> None:
         """Take in a whole answer.
 
         Parameters
         ----------
-        first_event_s, rest_s : float
+        first_event_s, streaming_s : float
         events : int
         """
         weight = SMOOTHING if self.events else 1.0
         self.first_event_s += weight * (first_event_s - self.first_event_s)
-        self.rest_s += weight * (rest_s - self.rest_s)
+        self.streaming_s += weight * (streaming_s - self.streaming_s)
         self.events += weight * (events - self.events)
 
-    def can_end_in_time(
-        self, *, left_s: float, events_done: int, has_copy: bool
+    def can_finish_in_time(
+        self, *, remaining_s: float, events_delivered: int, has_copy: bool
     ) -> bool:
         """Tell whether an answer that starts now may be whole before its caller leaves.
 
@@ -105,9 +105,9 @@
 
         Parameters
         ----------
-        left_s : float
+        remaining_s : float
             Time that the caller has left.
-        events_done : int
+        events_delivered : int
             Events that the caller has already.
         has_copy : bool
             Whether the prompt need not be read.
@@ -118,11 +118,11 @@
         """
         if not self.events:
             return True
-        left_share = max(0.0, 1.0 - events_done / self.events)
-        usual_s = left_share * self.rest_s
+        left_share = max(0.0, 1.0 - events_delivered / self.events)
+        usual_s = left_share * self.streaming_s
         if not has_copy:
             usual_s += self.first_event_s
-        return left_s >= SHORT_ANSWER_SHARE * usual_s
+        return remaining_s >= SHORT_ANSWER_SHARE * usual_s
 
 
 class SilenceLimits(NamedTuple):
@@ -130,17 +130,19 @@
 
     Parameters
     ----------
-    check_s : float
+    probe_after_s : float
         Silence after which it is checked whether it accepts connections.
-    give_up_s : float
+    resume_after_s : float
         Silence after which the stream goes on elsewhere in any case.
     """
 
-    check_s: float
-    give_up_s: float
+    probe_after_s: float
+    resume_after_s: float
 
 
-def limit_first_event(*, target_latency_s: float, estimate_s: float) -> SilenceLimits:
+def compute_first_event_limits(
+    *, target_latency_s: float, estimate_s: float
+) -> SilenceLimits:
     """Return how long to wait for the first event of a stream.
 
     Parameters
@@ -156,14 +158,16 @@
         From the sending of the request.
     """
     return SilenceLimits(
-        check_s=max(CHECK_MIN_SHARE * target_latency_s, CHECK_FACTOR * estimate_s),
-        give_up_s=max(
+        probe_after_s=max(
+            CHECK_MIN_SHARE * target_latency_s, CHECK_FACTOR * estimate_s
+        ),
+        resume_after_s=max(
             FIRST_EVENT_MIN_SHARE * target_latency_s, FIRST_EVENT_FACTOR * estimate_s
         ),
     )
 
 
-def limit_gap(
+def compute_gap_limits(
     *, target_gap_s: float, longest_gap_s: float, has_copy: bool
 ) -> SilenceLimits:
     """Return how long to wait for the next event of a stream.
@@ -186,5 +190,7 @@
     usual_s = max(GAP_SHARE * target_s, LONGEST_GAP_FACTOR * longest_gap_s)
     lost_s = min(usual_s, target_s)
     if has_copy:
-        return SilenceLimits(check_s=lost_s, give_up_s=lost_s)
-    return SilenceLimits(check_s=lost_s, give_up_s=GAP_SHARE_ALIVE * target_s)
+        return SilenceLimits(probe_after_s=lost_s, resume_after_s=lost_s)
+    return SilenceLimits(
+        probe_after_s=lost_s, resume_after_s=GAP_SHARE_ALIVE * target_s
+    )
--- a/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
@@ -95,7 +95,7 @@
         if head.request_id is not None and head.request_id != self._request.request_id:
             return False
         now = self._parts.clock()
-        self.backend.record_heard(now)
+        self.backend.record_received(now)
         if head.load is not None:
             self.backend.record_load(head.load, now)
         self.head = head
@@ -104,7 +104,7 @@
 
     def take_data(self, data: bytes) -> None:
         """See `OutgoingRequest.take_data`."""
-        self.backend.heard_at = self._parts.clock()
+        self.backend.last_received_at = self._parts.clock()
         if not self.is_over:
             self._inbox.put(AnswerData(self, data))
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_calls.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_calls.py
@@ -172,10 +172,10 @@
         return HEDGE_SHARE * max(self._route.target_latency_s, 0.05)
 
     def _can_repeat(self) -> bool:
-        return self._route.may_repeat and self._ran < self._route.max_attempts
+        return self._route.may_retry and self._ran < self._route.max_attempts
 
     def _can_hedge(self) -> bool:
-        return self._route.may_repeat and len(self._attempts) < self._route.max_attempts
+        return self._route.may_retry and len(self._attempts) < self._route.max_attempts
 
     def _is_hedge_due(self, now: float) -> bool:
         return (
@@ -190,7 +190,7 @@
         backend = self._choose(now)
         if backend is None:
             return False
-        if self._arrivals and not self._parts.budget.take_repeat(self._service, now):
+        if self._arrivals and not self._parts.budget.acquire_retry(self._service, now):
             self._parts.metrics.budget_refusals.inc()
             self._is_budget_spent = True
             return False
@@ -223,11 +223,11 @@
         directory = self._parts.state.backends
         usable = (
             directory.list_usable(self._service, now, self._barred)
-            or directory.list_doubtful(self._service, self._barred)
+            or directory.list_ready(self._service, self._barred)
             or directory.list_usable(self._service, now)
         )
         return choose_backend(
-            directory.prefer_undoubted(usable, now),
+            directory.avoid_suspect_data_centres(usable, now),
             data_centre=self._parts.data_centre,
             now=now,
             rng=self._parts.rng,
@@ -293,7 +293,7 @@
             self._attempts.remove(attempt)
             self._arrivals -= 1
             if self._arrivals:
-                self._parts.budget.give_back(self._service, self._parts.clock())
+                self._parts.budget.refund_retry(self._service, self._parts.clock())
         _log.info(
             "attempt_failed",
             request=self._request.request_id,
@@ -332,5 +332,5 @@
 
     def _suspect_if_silent(self, attempt: Attempt) -> None:
         """Keep work away from a server that said nothing to anybody meanwhile."""
-        if attempt.backend.heard_at < attempt.sent_at:
+        if attempt.backend.last_received_at < attempt.sent_at:
             self._parts.count_unreachable(attempt.backend)
--- a/packages/node/src/ebonyhaven_node/forwarding/_copy_exchange.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_copy_exchange.py
@@ -7,7 +7,11 @@
 
 import structlog
 from ebonyhaven_decisions import MemberState
-from ebonyhaven_decisions.forwarding import RunPlace, RunPlaces, choose_keepers
+from ebonyhaven_decisions.forwarding import (
+    RunCopyIndex,
+    RunCopyLocation,
+    choose_index_instances,
+)
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IReactorTime
 
@@ -36,7 +40,7 @@
     def __init__(self, reactor: IReactorTime, clock: Callable[[], float]):
         self._reactor = reactor
         self._clock = clock
-        self._places = RunPlaces(PLACE_LIFE_S)
+        self._places = RunCopyIndex(PLACE_LIFE_S)
         self._membership: MembershipController | None = None
         self._questions: dict[str, list[Deferred]] = {}
 
@@ -53,14 +57,14 @@
         channels.subscribe(Kind.RUN_PLACE_REQUEST, self._answer)
         channels.subscribe(Kind.RUN_PLACE_ANSWER, self._take)
 
-    def tell(self, key: str, place: RunPlace | None) -> None:
+    def tell(self, key: str, place: RunCopyLocation | None) -> None:
         """Let the keepers of a run know where its copy is.
 
         Parameters
         ----------
         key : str
             See `ForwardRequest.run_key`.
-        place : RunPlace or None
+        place : RunCopyLocation or None
             None when there is none any more.
         """
         self._places.record(key, place, self._clock())
@@ -79,7 +83,7 @@
         """
         self._places.record(key, None, self._clock())
 
-    async def find(self, key: str) -> RunPlace | None:
+    async def find(self, key: str) -> RunCopyLocation | None:
         """Return where the copy of a run is, asking others if need be.
 
         Parameters
@@ -88,7 +92,7 @@
 
         Returns
         -------
-        RunPlace or None
+        RunCopyLocation or None
             None when nobody answers in time that there is one.
         """
         known = self._places.find(key, self._clock())
@@ -123,7 +127,7 @@
             for record in self._membership.members
             if record.state != MemberState.DEAD
         ]
-        return [name for name in choose_keepers(key, names) if name != own]
+        return [name for name in choose_index_instances(key, names) if name != own]
 
     def _answer(self, frame: Frame) -> None:
         key = frame.payload
@@ -144,9 +148,9 @@
                 answer.callback(place)
 
 
-def _parse_place(payload: Any) -> tuple[str, RunPlace | None]:
+def _parse_place(payload: Any) -> tuple[str, RunCopyLocation | None]:
     key, values = payload
     if values is None:
         return str(key), None
     holder_id, address, handle = values
-    return str(key), RunPlace(str(holder_id), str(address), str(handle))
+    return str(key), RunCopyLocation(str(holder_id), str(address), str(handle))
--- a/packages/node/src/ebonyhaven_node/forwarding/_earlier_runs.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_earlier_runs.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import structlog
-from ebonyhaven_decisions.forwarding import Backend, Route, RunPlace
+from ebonyhaven_decisions.forwarding import Backend, Route, RunCopyLocation
 
 from ebonyhaven_node.forwarding._messages import CopyPlace, ForwardRequest
 from ebonyhaven_node.forwarding._parts import RelayParts
@@ -25,7 +25,7 @@
         self._request = request
         self._route = route
         self._parts = parts
-        self._place: RunPlace | None = None
+        self._place: RunCopyLocation | None = None
 
     @property
     def has_copy(self) -> bool:
@@ -37,7 +37,7 @@
         run_key = self._request.run_key
         if self._request.last_event_id is None or run_key is None:
             return
-        if not self._route.may_repeat:
+        if not self._route.may_retry:
             return
         place = self._place = await self._parts.copies.find(run_key)
         source = "caller_prompt" if place is None else "caller_copy"
@@ -66,6 +66,6 @@
         if place is None:
             return None
         holder = self._parts.state.backends.find(place.holder_id)
-        if holder is None or not holder.is_usable_for_copy(now):
+        if holder is None or not holder.can_resume_from_copy(now):
             return None
         return holder, CopyPlace(place.address, place.handle)
--- a/packages/node/src/ebonyhaven_node/forwarding/_followers.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_followers.py
@@ -5,12 +5,12 @@
 import math
 
 from ebonyhaven_decisions.forwarding import (
-    RECHECK_S,
+    SERVER_PROBE_INTERVAL_S,
     EngineUse,
     Route,
     SilenceLimits,
-    limit_first_event,
-    limit_gap,
+    compute_first_event_limits,
+    compute_gap_limits,
 )
 
 from ebonyhaven_node.forwarding._attempts import Attempt
@@ -92,20 +92,20 @@
         """Take note of how long an answer took that this server gave alone."""
         self._parts.read_answer_times(self._route.name).record(
             first_event_s=self.first_at - self.started_at,
-            rest_s=self._parts.clock() - self.first_at,
+            streaming_s=self._parts.clock() - self.first_at,
             events=self.events,
         )
 
     def read_limits(self, has_copy: bool) -> SilenceLimits:
         """Return how long the server may be silent now."""
         if self.events:
-            return limit_gap(
+            return compute_gap_limits(
                 target_gap_s=self._route.target_gap_s,
                 longest_gap_s=self.longest_gap_s,
                 has_copy=has_copy,
             )
         target_s = self._route.target_latency_s or 1.0
-        return limit_first_event(
+        return compute_first_event_limits(
             target_latency_s=target_s, estimate_s=self._estimate_first_event()
         )
 
@@ -115,7 +115,7 @@
         Those that were read meanwhile still count, as this one waited for them.
         """
         backend = self._attempt.backend
-        peers = self._parts.peers.sum_up(self._parts.clock())
+        peers = self._parts.peers.sum_by_server(self._parts.clock())
         others = peers.get(backend.server_id, EngineUse()).prefill_tokens
         estimate_s = self._parts.prefill.estimate_s(backend.prefill_tokens + others)
         self._longest_estimate_s = max(self._longest_estimate_s, estimate_s)
@@ -123,13 +123,16 @@
 
     def read_wait(self, limits: SilenceLimits, now: float) -> float:
         """Return the time until something is due if nothing arrives, seconds."""
-        check_at = max(self.heard_at + limits.check_s, self.checked_at + RECHECK_S)
-        give_up_at = self.heard_at + limits.give_up_s
+        check_at = max(
+            self.heard_at + limits.probe_after_s,
+            self.checked_at + SERVER_PROBE_INTERVAL_S,
+        )
+        give_up_at = self.heard_at + limits.resume_after_s
         return max(0.001, min(check_at, give_up_at) - now)
 
     def is_doubtful(self) -> bool:
         """Tell whether the server said nothing to anybody for a while."""
         now = self._parts.clock()
         backend = self._attempt.backend
-        heard_at = max(backend.heard_at, self.started_at)
+        heard_at = max(backend.last_received_at, self.started_at)
         return now - heard_at > SILENT_SERVER_S
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -12,11 +12,11 @@
 from ebonyhaven_decisions import CrashLedger, EntryList
 from ebonyhaven_decisions.forwarding import (
     Backend,
-    PeerUse,
+    PeerEngineUse,
     PrefillRate,
-    RepeatBudget,
     RequestKind,
     Route,
+    ServiceRetryBudget,
 )
 from prometheus_client import CollectorRegistry, generate_latest
 from twisted.internet import task
@@ -82,7 +82,7 @@
     grace_s : float
         Time from the request to stop until the process is killed.
     repeat_ratio, repeat_window_s, repeat_slack : float
-        Bound on repeats, see `RepeatBudget`.
+        Bound on repeats, see `ServiceRetryBudget`.
     """
 
     instance: str
@@ -160,9 +160,9 @@
             is_behind=self.source.is_behind,
             count_connections=lambda: self.pool.opened,
         )
-        self._peers = PeerUse(life_s=3 * REFRESH_S)
+        self._peers = PeerEngineUse(ttl_s=3 * REFRESH_S)
         self._waiters = Waiters()
-        self._budget = RepeatBudget(
+        self._budget = ServiceRetryBudget(
             ratio=settings.repeat_ratio,
             window_s=settings.repeat_window_s,
             slack=settings.repeat_slack,
--- a/packages/node/src/ebonyhaven_node/forwarding/_parts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_parts.py
@@ -10,11 +10,11 @@
 import attrs
 import structlog
 from ebonyhaven_decisions.forwarding import (
-    AnswerTimes,
     Backend,
-    PeerUse,
+    PeerEngineUse,
     PrefillRate,
-    RepeatBudget,
+    ServiceRetryBudget,
+    StreamDurations,
 )
 from twisted.internet.interfaces import IReactorTime
 
@@ -98,10 +98,10 @@
     pool : ConnectionPool
     dialect : BackendDialect
     copier : RunCopier
-    budget : RepeatBudget
-    peers : PeerUse
+    budget : ServiceRetryBudget
+    peers : PeerEngineUse
     prefill : PrefillRate
-    answer_times : dict of str to AnswerTimes
+    answer_times : dict of str to StreamDurations
         By route, as many as routes have answered streams.
     suspicions : Suspicions
     waiters : Waiters
@@ -126,10 +126,10 @@
     pool: ConnectionPool
     dialect: BackendDialect
     copier: RunCopier
-    budget: RepeatBudget
-    peers: PeerUse
+    budget: ServiceRetryBudget
+    peers: PeerEngineUse
     prefill: PrefillRate
-    answer_times: dict[str, AnswerTimes]
+    answer_times: dict[str, StreamDurations]
     suspicions: Suspicions
     waiters: Waiters
     metrics: ForwardingMetrics
@@ -143,7 +143,7 @@
     on_loss: Callable[[Backend], None] = lambda _: None
     on_other_process: Callable[[Backend, str], None] = lambda *_: None
 
-    def read_answer_times(self, route_name: str) -> AnswerTimes:
+    def read_answer_times(self, route_name: str) -> StreamDurations:
         """Return what is known of the answers of a route.
 
         Parameters
@@ -152,9 +152,9 @@
 
         Returns
         -------
-        AnswerTimes
+        StreamDurations
         """
-        return self.answer_times.setdefault(route_name, AnswerTimes())
+        return self.answer_times.setdefault(route_name, StreamDurations())
 
     def count_unreachable(self, backend: Backend, *, is_hearsay: bool = False) -> None:
         """Keep new work away from a server, and tell the streams near it.
@@ -175,13 +175,13 @@
             self.on_loss(backend)
 
     def _log_suspected(self, backend: Backend, now: float, is_hearsay: bool) -> None:
-        is_heard = math.isfinite(backend.heard_at)
+        is_heard = math.isfinite(backend.last_received_at)
         _log.info(
             "backend_suspected",
             server=backend.server_id,
             data_centre=backend.entry.data_centre,
             found_by="another instance" if is_hearsay else "this instance",
-            silent_s=round(now - backend.heard_at, 3) if is_heard else None,
+            silent_s=round(now - backend.last_received_at, 3) if is_heard else None,
             failures=backend.failures + 1,
         )
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
@@ -10,10 +10,10 @@
 
 import structlog
 from ebonyhaven_decisions.forwarding import (
-    RECHECK_S,
+    SERVER_PROBE_INTERVAL_S,
     Backend,
     EngineTraits,
-    RunPlace,
+    RunCopyLocation,
 )
 from twisted.internet.defer import CancelledError, Deferred, ensureDeferred
 
@@ -76,7 +76,7 @@
         self.holder = holder
         self._request_id = request_id
         self._run_key = run_key
-        self._told: RunPlace | None = None
+        self._told: RunCopyLocation | None = None
         self._source = source
         self._engine = engine
         self._claim = claim
@@ -107,7 +107,7 @@
         if not self._is_made or self.holder is None:
             return False
         known = self._parts.state.backends.find(self.holder.server_id)
-        return known is self.holder and self.holder.is_usable_for_copy(now)
+        return known is self.holder and self.holder.can_resume_from_copy(now)
 
     def review(self, now: float) -> None:
         """Ask for another copy, or for the growth of one, when it is due.
@@ -121,7 +121,7 @@
         self._tell(self._describe_place() if self.is_usable(now) else None)
 
     def _renew(self, now: float) -> None:
-        if self._engine is None or not self._engine.moves_runs:
+        if self._engine is None or not self._engine.copies_on_request:
             return
         if self._is_made and not self.is_usable(now):
             self._lose("its holder is out of use")
@@ -134,7 +134,7 @@
             self._ask(self.holder, now)
 
     def _refresh_s(self) -> float:
-        return REFRESH_SHARE * self._engine.copy_life_s
+        return REFRESH_SHARE * self._engine.copy_ttl_s
 
     def take(self, message: object) -> None:
         """Learn from a message whether the copy is still there.
@@ -175,11 +175,13 @@
             )
             dropping.addErrback(self._note_undropped)
 
-    def _describe_place(self) -> RunPlace:
+    def _describe_place(self) -> RunCopyLocation:
         address, handle = self.place
-        return RunPlace(self.holder.server_id, address, handle or self._request_id)
+        return RunCopyLocation(
+            self.holder.server_id, address, handle or self._request_id
+        )
 
-    def _tell(self, place: RunPlace | None) -> None:
+    def _tell(self, place: RunCopyLocation | None) -> None:
         if self._run_key is not None and place != self._told:
             self._told = place
             self._parts.copies.tell(self._run_key, place)
@@ -195,7 +197,7 @@
         if suspicion.data_centre != self.holder.entry.data_centre:
             return
         now = self._parts.clock()
-        if now - self._checked_at >= RECHECK_S:
+        if now - self._checked_at >= SERVER_PROBE_INTERVAL_S:
             self._checked_at = now
             self._parts.check(self.holder, self._inbox)
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
@@ -12,8 +12,8 @@
 from ebonyhaven_decisions.forwarding import (
     Backend,
     EngineUse,
-    PeerUse,
-    RepeatBudget,
+    PeerEngineUse,
+    ServiceRetryBudget,
 )
 from twisted.internet.interfaces import IReactorTime
 
@@ -39,9 +39,9 @@
     Parameters
     ----------
     state : ForwardingState
-    peers : PeerUse
+    peers : PeerEngineUse
         Takes what others tell.
-    budget : RepeatBudget
+    budget : ServiceRetryBudget
         Is told how many instances there are.
     membership : MembershipController
     channels : Channels
@@ -57,8 +57,8 @@
         self,
         *,
         state: ForwardingState,
-        peers: PeerUse,
-        budget: RepeatBudget,
+        peers: PeerEngineUse,
+        budget: ServiceRetryBudget,
         membership: MembershipController,
         channels: Channels,
         reactor: IReactorTime,
@@ -143,7 +143,7 @@
         backend = self._state.backends.find(server_id)
         if backend is None:
             return
-        if time.monotonic() - backend.heard_at > SILENT_SERVER_S:
+        if time.monotonic() - backend.last_received_at > SILENT_SERVER_S:
             self._on_loss(backend)
 
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
@@ -5,7 +5,7 @@
 import enum
 from typing import NamedTuple
 
-from ebonyhaven_decisions.forwarding import RECHECK_S, SilenceLimits
+from ebonyhaven_decisions.forwarding import SERVER_PROBE_INTERVAL_S, SilenceLimits
 
 from ebonyhaven_node.forwarding._attempts import Attempt
 from ebonyhaven_node.forwarding._followers import Follower
@@ -159,10 +159,10 @@
     def _handle_silence(self, limits: SilenceLimits) -> AttemptResult | None:
         now = self._parts.clock()
         silent_s = now - self._follower.heard_at
-        if now < self._deadline and silent_s < limits.give_up_s:
+        if now < self._deadline and silent_s < limits.resume_after_s:
             self._check()
             return None
-        is_unheard = now - self._backend.heard_at > SILENT_SERVER_S
+        is_unheard = now - self._backend.last_received_at > SILENT_SERVER_S
         if is_unheard and self._follower.events:
             self._parts.count_unreachable(self._backend)
         end = End.SILENT if self._attempt.was_sent else End.UNREACHABLE
@@ -170,7 +170,7 @@
 
     def _check(self) -> None:
         now = self._parts.clock()
-        if now - self._follower.checked_at >= RECHECK_S:
+        if now - self._follower.checked_at >= SERVER_PROBE_INTERVAL_S:
             self._follower.checked_at = now
             self._parts.check(self._backend, self._inbox)
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
@@ -8,11 +8,11 @@
     Backend,
     EngineTraits,
     EngineUse,
-    Need,
+    TokenDemand,
     choose_backend,
     choose_copy_holder,
     choose_engine,
-    count_prompt_tokens,
+    count_queued_prefill_tokens,
     is_prompt_admitted,
 )
 
@@ -30,7 +30,7 @@
     service : str
     engine : EngineTraits or None
         None for a service without model engines.
-    need : Need
+    demand : TokenDemand
     parts : RelayParts
     """
 
@@ -39,12 +39,12 @@
         *,
         service: str,
         engine: EngineTraits | None,
-        need: Need,
+        demand: TokenDemand,
         parts: RelayParts,
     ):
         self._service = service
         self._engine = engine
-        self._need = need
+        self._need = demand
         self._parts = parts
         self._avoided: dict[tuple[str, int], float] = {}
 
@@ -81,7 +81,7 @@
             self._service, now
         )
         usable = [each for each in usable if self._has_connections(each)]
-        usable = self._parts.state.backends.prefer_undoubted(usable, now)
+        usable = self._parts.state.backends.avoid_suspect_data_centres(usable, now)
         if self._engine is None:
             return choose_backend(
                 usable,
@@ -89,7 +89,7 @@
                 now=now,
                 rng=self._parts.rng,
             )
-        peers = self._parts.peers.sum_up(now)
+        peers = self._parts.peers.sum_by_server(now)
         admitting = [
             each
             for each in usable
@@ -101,7 +101,7 @@
         ]
         return choose_engine(
             admitting,
-            need=self._need,
+            demand=self._need,
             memory_tokens=self._engine.memory_tokens,
             peers=peers,
             rng=self._parts.rng,
@@ -112,7 +112,7 @@
         self, backend: Backend, peers: Mapping[str, EngineUse]
     ) -> float:
         """Return the time to read the prompts on an engine with this one, seconds."""
-        tokens = count_prompt_tokens(backend, peers)
+        tokens = count_queued_prefill_tokens(backend, peers)
         if not tokens:
             return 0.0
         return self._parts.prefill.estimate_s(tokens + self._need.prompt_tokens)
@@ -131,7 +131,7 @@
         -------
         Backend or None
         """
-        if self._engine is None or not self._engine.copies_runs:
+        if self._engine is None or not self._engine.copies_continuously:
             return None
         if not self._need.prompt_tokens:
             return None
@@ -139,11 +139,13 @@
         return choose_copy_holder(
             self._list_usable(now),
             source=source,
-            need=self._need,
+            demand=self._need,
             memory_tokens=self._engine.memory_tokens,
-            peers=self._parts.peers.sum_up(now),
+            peers=self._parts.peers.sum_by_server(now),
             rng=self._parts.rng,
-            is_doubted=lambda data_centre: directory.is_doubted(data_centre, now),
+            is_suspect_data_centre=lambda data_centre: directory.is_suspect_data_centre(
+                data_centre, now
+            ),
         )
 
     def _list_usable(self, now: float) -> list[Backend]:
--- a/packages/node/src/ebonyhaven_node/forwarding/_streams.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_streams.py
@@ -10,8 +10,8 @@
     Backend,
     EngineTraits,
     EngineUse,
-    Need,
     Route,
+    TokenDemand,
 )
 
 from ebonyhaven_node._failures import give_up, refuse
@@ -96,7 +96,9 @@
         self._inbox = Inbox(parts.reactor)
         size = request.size
         self._need = (
-            Need(size.prompt_tokens, size.output_tokens) if size else Need(0, 0)
+            TokenDemand(size.prompt_tokens, size.output_tokens)
+            if size
+            else TokenDemand(0, 0)
         )
         wait_s = route.timeout_s
         if request.wait_s is not None:
@@ -111,7 +113,7 @@
         self._charged = 0
         self._may_have_run = False
         self._servers = StreamServers(
-            service=service, engine=engine, need=self._need, parts=parts
+            service=service, engine=engine, demand=self._need, parts=parts
         )
         self._copy: RunCopy | None = None
         self._earlier = EarlierRun(request=request, route=route, parts=parts)
@@ -160,7 +162,7 @@
     def _take_repeat(self, now: float) -> bool:
         if not self._attempts:
             return True
-        if self._parts.budget.take_repeat(self._service, now):
+        if self._parts.budget.acquire_retry(self._service, now):
             return True
         self._parts.metrics.budget_refusals.inc()
         return False
@@ -173,7 +175,7 @@
             self._end_without(now, "no server had room in time")
         elif not self._progress.delivered and not self._can_end_in_time(now):
             self._end_without(now, TOO_LATE)
-        elif self._may_have_run and not self._route.may_repeat:
+        elif self._may_have_run and not self._route.may_retry:
             self._end_without(now, self._last_reason)
         elif self._stops_servers():
             self._end_without(now, "servers died each time they began the request")
@@ -182,9 +184,9 @@
 
     def _can_end_in_time(self, now: float) -> bool:
         position = self._progress.position or ""
-        return self._parts.read_answer_times(self._route.name).can_end_in_time(
-            left_s=self._deadline - now,
-            events_done=int(position) if position.isdigit() else 0,
+        return self._parts.read_answer_times(self._route.name).can_finish_in_time(
+            remaining_s=self._deadline - now,
+            events_delivered=int(position) if position.isdigit() else 0,
             has_copy=self._earlier.has_copy,
         )
 
@@ -239,7 +241,7 @@
         backend = target.backend
         self._copy = None  # a copy serves once
         holder = None
-        if self._route.may_repeat:
+        if self._route.may_retry:
             holder = self._servers.choose_holder(backend, now)
         self._attempts += 1
         self._tries += 1
@@ -261,10 +263,10 @@
         claim = EngineClaim(backend, holder, self._need, prefill, self._parts.on_use)
         copy = RunCopy(
             request_id=self._request.request_id,
-            run_key=self._request.run_key if self._route.may_repeat else None,
+            run_key=self._request.run_key if self._route.may_retry else None,
             source=backend,
             holder=holder,
-            engine=self._engine if self._route.may_repeat else None,
+            engine=self._engine if self._route.may_retry else None,
             claim=claim,
             servers=self._servers,
             inbox=self._inbox,
@@ -310,7 +312,7 @@
 
     def _log_sent(self, target: _Target, holder: Backend | None, now: float) -> None:
         backend = target.backend
-        peers = self._parts.peers.sum_up(now).get(backend.server_id, EngineUse())
+        peers = self._parts.peers.sum_by_server(now).get(backend.server_id, EngineUse())
         _log.info(
             "stream_sent",
             request=self._request.request_id,
@@ -353,7 +355,7 @@
         if end is End.UNREACHABLE:
             self._attempts -= 1
             if self._attempts:
-                self._parts.budget.give_back(self._service, now)
+                self._parts.budget.refund_retry(self._service, now)
         if end in (End.NOT_RUN, End.UNREACHABLE):
             return
         self._may_have_run = True
--- a/packages/node/src/ebonyhaven_node/forwarding/_usage.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_usage.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ebonyhaven_decisions.forwarding import Backend, Need
+from ebonyhaven_decisions.forwarding import Backend, TokenDemand
 
 
 class EngineClaim:
@@ -16,7 +16,7 @@
         Engine of the run.
     holder : Backend or None
         Engine of the copy.
-    need : Need
+    demand : TokenDemand
     prefill_tokens : int
         Tokens of the prompt that have to be read.
     on_change : callable
@@ -34,19 +34,19 @@
         self,
         backend: Backend,
         holder: Backend | None,
-        need: Need,
+        demand: TokenDemand,
         prefill_tokens: int,
         on_change: Callable[[], None],
     ):
         self._backend: Backend | None = backend
         self._holder = holder
-        self._need = need
+        self._need = demand
         self._on_change = on_change
         self.prefill_tokens = prefill_tokens
-        backend.run_tokens += need.tokens
+        backend.run_tokens += demand.tokens
         backend.prefill_tokens += prefill_tokens
         if holder is not None:
-            holder.copy_tokens += need.tokens
+            holder.copy_tokens += demand.tokens
         on_change()
 
     def end_prefill(self) -> None:
--- a/tests/decisions/test_forwarding.py
+++ b/tests/decisions/test_forwarding.py
@@ -3,27 +3,27 @@
 import random
 
 from ebonyhaven_decisions.forwarding import (
-    AnswerTimes,
     Backend,
     BackendDirectory,
     BackendEntry,
     BackendState,
     EngineUse,
-    Need,
     PrefillRate,
-    RepeatBudget,
+    ServiceRetryBudget,
+    StreamDurations,
+    TokenDemand,
     choose_backend,
     choose_copy_holder,
     choose_engine,
-    count_prompt_tokens,
+    compute_first_event_limits,
+    compute_gap_limits,
+    count_queued_prefill_tokens,
     is_prompt_admitted,
-    limit_first_event,
-    limit_gap,
-    rank_engines,
+    select_preferred_engines,
 )
 
 MEMORY = 88000
-NEED = Need(8000, 780)
+NEED = TokenDemand(8000, 780)
 
 
 def entry(server_id, data_centre="dc-a", **options):
@@ -50,7 +50,7 @@
 def place(directory, peers=None, now=10.0, seed=1, **options):
     return choose_engine(
         directory.list_usable("engines", now),
-        need=NEED,
+        demand=NEED,
         memory_tokens=MEMORY,
         peers=peers or {},
         rng=random.Random(seed),
@@ -92,7 +92,7 @@
 def test_same_prompt_goes_to_the_same_engines_wherever_it_arrives():
     directory = build(18)
     candidates = directory.list_usable("engines", 10.0)
-    preferred = rank_engines("prompt", candidates)
+    preferred = select_preferred_engines("prompt", candidates)
     for seed in range(20):
         chosen = place(directory, seed=seed, prompt_id="prompt")
         assert chosen.server_id in preferred
@@ -118,7 +118,7 @@
         holder = choose_copy_holder(
             directory.list_usable("engines", 10.0),
             source=source,
-            need=NEED,
+            demand=NEED,
             memory_tokens=MEMORY,
             peers={},
             rng=random.Random(seed),
@@ -139,7 +139,7 @@
         holder = choose_copy_holder(
             directory.list_usable("engines", 10.0),
             source=source,
-            need=NEED,
+            demand=NEED,
             memory_tokens=MEMORY,
             peers={},
             rng=rng,
@@ -159,11 +159,11 @@
     holder = choose_copy_holder(
         directory.list_usable("engines", 10.0),
         source=directory.find("s0"),
-        need=NEED,
+        demand=NEED,
         memory_tokens=MEMORY,
         peers={},
         rng=random.Random(1),
-        is_doubted=lambda data_centre: data_centre != "dc-a",
+        is_suspect_data_centre=lambda data_centre: data_centre != "dc-a",
     )
     assert holder.entry.data_centre != "dc-a"
 
@@ -184,9 +184,11 @@
     directory = build(6)
     directory.record_unreachable(directory.find("s0"), 10.0)
     usable = directory.list_usable("engines", 10.1)
-    calm = directory.prefer_undoubted(usable, 10.1)
+    calm = directory.avoid_suspect_data_centres(usable, 10.1)
     assert {each.entry.data_centre for each in calm} == {"dc-b", "dc-c"}
-    later = directory.prefer_undoubted(directory.list_usable("engines", 11.0), 11.0)
+    later = directory.avoid_suspect_data_centres(
+        directory.list_usable("engines", 11.0), 11.0
+    )
     assert "s3" in {each.server_id for each in later}
 
 
@@ -196,7 +198,7 @@
         directory.record_unreachable(each, 10.0)
     directory.put(entry("s9", "dc-a"), 10.0)
     usable = directory.list_usable("engines", 10.1)
-    assert directory.prefer_undoubted(usable, 10.1) == usable
+    assert directory.avoid_suspect_data_centres(usable, 10.1) == usable
 
 
 # -- what is known of servers ----------------------------------------------
@@ -209,7 +211,7 @@
     assert backend.is_usable(11.0)
     backend.in_flight = 1
     assert not backend.is_usable(11.0)
-    backend.record_heard(11.1)
+    backend.record_received(11.1)
     assert backend.is_usable(11.1)
 
 
@@ -278,48 +280,50 @@
 
 
 def test_repeats_of_all_instances_together_stay_under_the_bound():
-    instances = [RepeatBudget(ratio=0.8, window_s=10.0, slack=150.0) for _ in range(9)]
+    instances = [
+        ServiceRetryBudget(ratio=0.8, window_s=10.0, slack=150.0) for _ in range(9)
+    ]
     repeats = requests = 0
     for budget in instances:
         budget.instances = 9
         for _ in range(5):
             budget.record_request("engines", 1.0)
             requests += 1
-        while budget.take_repeat("engines", 2.0):
+        while budget.acquire_retry("engines", 2.0):
             repeats += 1
     assert 0 < repeats <= 0.8 * requests + 150
 
 
 def test_budget_comes_back_with_the_window():
-    budget = RepeatBudget(ratio=0.0, window_s=10.0, slack=10.0)
-    while budget.take_repeat("s", 1.0):
+    budget = ServiceRetryBudget(ratio=0.0, window_s=10.0, slack=10.0)
+    while budget.acquire_retry("s", 1.0):
         pass
-    assert not budget.take_repeat("s", 9.0)
-    assert budget.take_repeat("s", 12.0)
+    assert not budget.acquire_retry("s", 9.0)
+    assert budget.acquire_retry("s", 12.0)
 
 
 # -- silence ---------------------------------------------------------------
 
 
 def test_stream_with_a_copy_is_left_while_the_pause_can_still_be_on_time():
-    limits = limit_gap(target_gap_s=0.7, longest_gap_s=0.02, has_copy=True)
-    assert limits.give_up_s == 0.35
-    slow = limit_gap(target_gap_s=0.7, longest_gap_s=0.2, has_copy=True)
-    assert 0.35 < slow.give_up_s <= 0.7
+    limits = compute_gap_limits(target_gap_s=0.7, longest_gap_s=0.02, has_copy=True)
+    assert limits.resume_after_s == 0.35
+    slow = compute_gap_limits(target_gap_s=0.7, longest_gap_s=0.2, has_copy=True)
+    assert 0.35 < slow.resume_after_s <= 0.7
 
 
 def test_stream_without_a_copy_waits_for_a_server_that_accepts_connections():
-    limits = limit_gap(target_gap_s=0.7, longest_gap_s=0.02, has_copy=False)
-    assert limits.check_s == 0.35
-    assert limits.give_up_s > 2.0
+    limits = compute_gap_limits(target_gap_s=0.7, longest_gap_s=0.02, has_copy=False)
+    assert limits.probe_after_s == 0.35
+    assert limits.resume_after_s > 2.0
 
 
 def test_first_event_is_waited_for_as_long_as_the_prompts_before_it_take():
-    alone = limit_first_event(target_latency_s=4.5, estimate_s=1.0)
-    behind = limit_first_event(target_latency_s=4.5, estimate_s=2.5)
-    assert alone.check_s < alone.give_up_s
-    assert behind.give_up_s > 5.0
-    assert behind.check_s > 3.0
+    alone = compute_first_event_limits(target_latency_s=4.5, estimate_s=1.0)
+    behind = compute_first_event_limits(target_latency_s=4.5, estimate_s=2.5)
+    assert alone.probe_after_s < alone.resume_after_s
+    assert behind.resume_after_s > 5.0
+    assert behind.probe_after_s > 3.0
 
 
 def test_prefill_rate_follows_what_is_observed():
@@ -331,8 +335,8 @@
     assert 1.8 < rate.estimate_s(8000) < 2.1
 
 
-def learn(**options) -> AnswerTimes:
-    times = AnswerTimes()
+def learn(**options) -> StreamDurations:
+    times = StreamDurations()
     values = {"first_event_s": 1.0, "rest_s": 8.0, "events": 120, **options}
     for _ in range(20):
         times.record(**values)
@@ -340,29 +344,39 @@
 
 
 def test_nothing_is_ruled_out_before_an_answer_was_seen():
-    times = AnswerTimes()
-    assert times.can_end_in_time(left_s=0.01, events_done=0, has_copy=False)
+    times = StreamDurations()
+    assert times.can_finish_in_time(
+        remaining_s=0.01, events_delivered=0, has_copy=False
+    )
 
 
 def test_answers_shorter_than_usual_are_not_ruled_out():
     times = learn()
-    assert times.can_end_in_time(left_s=5.5, events_done=0, has_copy=False)
-    assert not times.can_end_in_time(left_s=5.3, events_done=0, has_copy=False)
+    assert times.can_finish_in_time(remaining_s=5.5, events_delivered=0, has_copy=False)
+    assert not times.can_finish_in_time(
+        remaining_s=5.3, events_delivered=0, has_copy=False
+    )
 
 
 def test_only_the_rest_of_an_answer_takes_time():
     times = learn()
-    assert times.can_end_in_time(left_s=3.1, events_done=60, has_copy=False)
-    assert not times.can_end_in_time(left_s=2.9, events_done=60, has_copy=False)
-    assert times.can_end_in_time(left_s=2.5, events_done=60, has_copy=True)
-    assert times.can_end_in_time(left_s=0.7, events_done=500, has_copy=False)
+    assert times.can_finish_in_time(
+        remaining_s=3.1, events_delivered=60, has_copy=False
+    )
+    assert not times.can_finish_in_time(
+        remaining_s=2.9, events_delivered=60, has_copy=False
+    )
+    assert times.can_finish_in_time(remaining_s=2.5, events_delivered=60, has_copy=True)
+    assert times.can_finish_in_time(
+        remaining_s=0.7, events_delivered=500, has_copy=False
+    )
 
 
 def test_requests_with_their_whole_time_are_never_ruled_out():
     # However slow the answers that came in time were: refusing all would leave
     # nothing to learn from.
-    times = learn(first_event_s=2.0, rest_s=3.0)
-    assert times.can_end_in_time(left_s=5.0, events_done=0, has_copy=False)
+    times = learn(first_event_s=2.0, streaming_s=3.0)
+    assert times.can_finish_in_time(remaining_s=5.0, events_delivered=0, has_copy=False)
 
 
 def test_prompt_that_can_be_on_time_goes_behind_others():
@@ -379,4 +393,4 @@
     backend = build(1).find("s0")
     backend.prefill_tokens = 5000
     peers = {"s0": EngineUse(9000, 0, 8000)}
-    assert count_prompt_tokens(backend, peers) == 13000
+    assert count_queued_prefill_tokens(backend, peers) == 13000
--- a/tests/forwarding/test_calls.py
+++ b/tests/forwarding/test_calls.py
@@ -136,8 +136,8 @@
         server.receive(answer(f"r{number}"))
         assert caller.read_answer()[0] == 200
     now = world.reactor.seconds()
-    assert sum(each.repeats for each in budget._counts["plain"]) == 0
-    assert budget.take_repeat("plain", now)
+    assert sum(each.retries for each in budget._counts["plain"]) == 0
+    assert budget.acquire_retry("plain", now)
 
 
 def test_answer_to_an_earlier_request_is_skipped():
--- a/tests/forwarding/test_copy_exchange.py
+++ b/tests/forwarding/test_copy_exchange.py
@@ -1,8 +1,8 @@
 from __future__ import annotations
 
 from ebonyhaven_decisions import MemberState
-from ebonyhaven_decisions.forwarding import RunPlace, choose_keepers
-from ebonyhaven_decisions.forwarding._run_places import KEEPERS
+from ebonyhaven_decisions.forwarding import RunCopyLocation, choose_index_instances
+from ebonyhaven_decisions.forwarding._copy_index import INDEX_REPLICAS
 from ebonyhaven_node import Frame, Kind
 from ebonyhaven_node._frames import encode_frame
 from ebonyhaven_node.forwarding._copy_exchange import ANSWER_TIMEOUT_S, CopyExchange
@@ -19,7 +19,7 @@
 )
 from tests.forwarding.test_sharing import FakeChannels, FakeMembership, make_record
 
-PLACE = RunPlace("e-1", "10.0.0.1:9001", "r1")
+PLACE = RunCopyLocation("e-1", "10.0.0.1:9001", "r1")
 OTHERS = ("n2", "n3", "n4", "n5", "n6")
 
 
@@ -95,9 +95,9 @@
 def test_telling_of_runs_stays_within_its_share_of_control_traffic():
     # At the size of the target a node starts 3.9 generations a second, and all
     # control may take 2,000 bytes a second; less than two thirds of it are for this.
-    place = RunPlace("i-0123456789", "10.33.164.138:18028", "0123456789abcdef")
+    place = RunCopyLocation("i-0123456789", "10.33.164.138:18028", "0123456789abcdef")
     frame = Frame(Kind.RUN_PLACE, "edge-sala-b-44", 44015126, ["0" * 16, place])
-    assert 3.9 * KEEPERS * len(encode_frame(frame)) <= 2000 * 2 / 3
+    assert 3.9 * INDEX_REPLICAS * len(encode_frame(frame)) <= 2000 * 2 / 3
 
 
 def test_a_question_without_an_answer_holds_a_caller_up_for_a_moment_only():
@@ -114,7 +114,9 @@
     clock = Clock()
     exchange, network = CopyExchange(clock, clock.seconds), Network()
     membership = network.join(exchange, "n1", OTHERS)
-    keepers = [name for name in choose_keepers("abc", ("n1", *OTHERS)) if name != "n1"]
+    keepers = [
+        name for name in choose_index_instances("abc", ("n1", *OTHERS)) if name != "n1"
+    ]
     membership.members = [
         each._replace(state=MemberState.DEAD) if each.name == keepers[0] else each
         for each in membership.members
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_sharing.py
@@ -3,7 +3,7 @@
 import random
 
 from ebonyhaven_decisions import MemberRecord, MemberState
-from ebonyhaven_decisions.forwarding import EngineUse, PeerUse, RepeatBudget
+from ebonyhaven_decisions.forwarding import EngineUse, PeerEngineUse, ServiceRetryBudget
 from ebonyhaven_node import Frame, Kind
 from ebonyhaven_node.forwarding._sharing import StateSharing, UseSharing
 from twisted.internet.task import Clock
@@ -54,8 +54,8 @@
     world = World()
     membership, channels, clock = FakeMembership(*names), FakeChannels(), Clock()
     lost = []
-    peers = PeerUse(life_s=3.0)
-    budget = RepeatBudget(ratio=0.8, window_s=10.0, slack=150.0)
+    peers = PeerEngineUse(ttl_s=3.0)
+    budget = ServiceRetryBudget(ratio=0.8, window_s=10.0, slack=150.0)
     sharing = UseSharing(
         state=world.state,
         peers=peers,
@@ -105,18 +105,18 @@
     _, _, _, channels, _, lost, peers, _ = build_use_sharing("n2")
     receive = channels.handlers[Kind.ENGINE_USE]
     receive(Frame(Kind.ENGINE_USE, "n2", 1, [{"e-0": [1, 2, 3]}, ["e-2", "unknown"]]))
-    now = peers._statements["n2"][0]
-    assert peers.sum_up(now) == {"e-0": EngineUse(1, 2, 3)}
+    now = peers._reports["n2"][0]
+    assert peers.sum_by_server(now) == {"e-0": EngineUse(1, 2, 3)}
     assert [each.server_id for each in lost] == ["e-2"]
     receive(Frame(Kind.ENGINE_USE, "n2", 1, "nonsense"))
-    assert peers.sum_up(now) == {"e-0": EngineUse(1, 2, 3)}
+    assert peers.sum_by_server(now) == {"e-0": EngineUse(1, 2, 3)}
 
 
 def test_statements_of_a_silent_peer_expire():
-    peers = PeerUse(life_s=3.0)
+    peers = PeerEngineUse(ttl_s=3.0)
     peers.record("n2", {"e-0": EngineUse(1, 0, 0)}, 10.0)
-    assert peers.sum_up(12.9)
-    assert peers.sum_up(13.1) == {}
+    assert peers.sum_by_server(12.9)
+    assert peers.sum_by_server(13.1) == {}
 
 
 def build_state_sharing():
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -248,7 +248,7 @@
     server, _, _ = world.take_request()
     assert server.address == world.find_address("e-5")
     budget = world.gateway._parts.budget
-    assert sum(each.repeats for each in budget._counts["engines"]) == 0
+    assert sum(each.retries for each in budget._counts["engines"]) == 0
 
 
 def test_a_release_of_everything_leaves_no_use_behind():
