--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_backends.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_backends.py
@@ -1,4 +1,4 @@
-"""What an instance knows of one backend server that it forwards to."""
+"""State that an instance keeps for each backend server."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 
 import attrs
 
-SUSPECT_MIN_S = 0.4  # a third of the time a restart takes on a fast machine
-SUSPECT_MAX_S = 3.0  # a server that is back gets work again within this time
-REPLACED_S = 10.0  # longer than an entry outlives its process
-REMOVED_USABLE_S = 1.5  # below the time that a leaving server goes on serving
-REPORT_LIFE_S = 1.0  # a load that is older says nothing about the present
-SMOOTHING = 0.2
+SUSPECT_MIN_S = 0.4  # a third of a server restart on a fast machine
+SUSPECT_MAX_S = 3.0  # a recovered server gets requests again within this time
+REPLACED_SUSPECT_S = 10.0  # exceeds the time that an entry outlives its process
+REMOVED_USABLE_S = 1.5  # shorter than the drain time of a leaving server
+LOAD_REPORT_TTL_S = 1.0  # older reports do not reflect the current load
+SMOOTHING_FACTOR = 0.2
 DEFAULT_LATENCY_S = 0.05
 
 
 class BackendState(enum.Enum):
-    """What a backend server says of itself."""
+    """State that a backend server publishes in its entry."""
 
     READY = "ready"
     LEAVING = "leaving"
 
 
 class BackendEntry(NamedTuple):
-    """One backend server as the list of the platform has it.
+    """One backend server in the platform's server list.
 
     Parameters
     ----------
     server_id : str
     started_ms : int
-        Start of the process, Unix milliseconds; tells restarts under one id apart.
+        Start of the process, Unix milliseconds; distinguishes restarts under one id.
     service : str
     address : str
         ``IP:PORT``.
     data_centre : str
     slots : int
-        Requests that it works on at once.
+        Requests that it runs concurrently.
     state : BackendState
     """
 
@@ -52,7 +52,7 @@
 
 @attrs.define(slots=True, eq=False)
 class Backend:
-    """One process of a backend server: its entry, own work on it and evidence.
+    """One process of a backend server, with its load and failures.
 
     Parameters
     ----------
@@ -61,14 +61,27 @@
     Attributes
     ----------
     in_flight : int
-        Requests of this instance that it has.
-    run_tokens, copy_tokens, prefill_tokens : int
-        Memory that runs and copies of this instance occupy, and the prompts that
-        it still has to read.
+        Requests of this instance that the server has.
+    run_tokens, copy_tokens : int
+        Engine memory that runs and copies of this instance occupy.
+    prefill_tokens : int
+        Prompt tokens of this instance that the engine has yet to prefill.
     suspect_until : float
-        Seconds; no new work before.
+        Time before which the server gets no new requests, seconds.
+    failures : int
+        Failures to reach the server since it last responded.
     last_received_at : float
-        When the last byte came from it, seconds.
+        Time of the last byte received from the server, seconds.
+    failure_share : float
+        Moving average of the share of failed requests, from 0 to 1.
+    latency_s : float
+        Moving average of the time to a complete response, seconds.
+    reported_load : int
+        Requests of other instances at the last load report.
+    reported_at : float
+        Time of the last load report, seconds.
+    removed_at : float or None
+        Time at which the entry was removed, seconds; None while it is listed.
     """
 
     entry: BackendEntry
@@ -79,7 +92,7 @@
     prefill_tokens: int = 0
     suspect_until: float = -math.inf
     failures: int = 0
-    heard_at: float = -math.inf
+    last_received_at: float = -math.inf
     failure_share: float = 0.0
     latency_s: float = DEFAULT_LATENCY_S
     reported_load: int = 0
@@ -88,26 +101,28 @@
 
     @property
     def server_id(self) -> str:
-        """Identity that requests are addressed to."""
+        """Id of the server that requests are addressed to."""
         return self.entry.server_id
 
     @property
     def name(self) -> str:
-        """Name in evidence that instances share."""
+        """Name of the server in crash reports shared between instances."""
         return self.entry.server_id
 
     @property
     def identity(self) -> str:
-        """What tells the process from an earlier one of the name."""
+        """Identity that distinguishes the process from earlier ones of that name."""
         return str(self.entry.started_ms)
 
     @property
     def key(self) -> tuple[str, int]:
-        """Identity of the process."""
+        """Unique key of the process."""
         return (self.entry.server_id, self.entry.started_ms)
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether new work may be sent to it.
+        """Return whether new requests may be sent to the server.
+
+        After a failure it gets one request at a time until it responds.
 
         Parameters
         ----------
@@ -121,7 +136,7 @@
         return self.failures == 0 or self.in_flight == 0
 
     def can_resume_from_copy(self, now: float) -> bool:
-        """Tell whether a run may go on from a copy that it holds.
+        """Return whether a run may resume from a copy on this server.
 
         Parameters
         ----------
@@ -131,9 +146,10 @@
         return self.removed_at is None and now >= self.suspect_until
 
     def is_usable_after_removal(self, now: float) -> bool:
-        """Tell whether it may serve although its entry is gone.
+        """Return whether the server may get requests after its entry was removed.
 
-        Entries can lapse while the store is away; the process then still serves.
+        Entries can expire while the store is unavailable although the processes
+        are still serving.
 
         Parameters
         ----------
@@ -145,7 +161,7 @@
         return now - self.removed_at < REMOVED_USABLE_S and now >= self.suspect_until
 
     def record_unreachable(self, now: float) -> None:
-        """Keep new work away for a time that doubles with each failure.
+        """Suspect the server for a time that doubles with each failure.
 
         Parameters
         ----------
@@ -159,48 +175,49 @@
         self.suspect_until = max(self.suspect_until, until)
 
     def record_replaced(self, now: float) -> None:
-        """Take note that another process answers at the address.
+        """Suspect the server because another process responds at its address.
 
         Parameters
         ----------
         now : float
             Seconds.
         """
-        self.suspect_until = max(self.suspect_until, now + REPLACED_S)
+        self.suspect_until = max(self.suspect_until, now + REPLACED_SUSPECT_S)
 
     def record_received(self, now: float) -> None:
-        """Take note that bytes of an answer came.
+        """Record that response bytes arrived and clear the suspicion.
 
         Parameters
         ----------
         now : float
             Seconds.
         """
-        self.heard_at = now
+        self.last_received_at = now
         self.failures = 0
         self.suspect_until = -math.inf
 
     def record_result(self, *, succeeded: bool, latency_s: float | None) -> None:
-        """Take the end of a request into the averages.
+        """Update the averages with a finished request.
 
         Parameters
         ----------
         succeeded : bool
         latency_s : float or None
-            Seconds from sending to the whole answer, when it says something.
+            Seconds from sending the request to the complete response; None if
+            unknown.
         """
         failed = 0.0 if succeeded else 1.0
-        self.failure_share += SMOOTHING * (failed - self.failure_share)
-        if succeeded and latency_s is not None:  # failures may be fast
-            self.latency_s += SMOOTHING * (latency_s - self.latency_s)
+        self.failure_share += SMOOTHING_FACTOR * (failed - self.failure_share)
+        if succeeded and latency_s is not None:  # fast failures would lower the average
+            self.latency_s += SMOOTHING_FACTOR * (latency_s - self.latency_s)
 
     def record_load(self, load: int, now: float) -> None:
-        """Take note of the requests that the server says it has.
+        """Record the load that the server reports with a response.
 
         Parameters
         ----------
         load : int
-            Running and waiting, of all instances.
+            Running and queued requests of all instances.
         now : float
             Seconds.
         """
@@ -208,7 +225,7 @@
         self.reported_at = now
 
     def estimate_load(self, now: float) -> float:
-        """Return the requests that it is thought to have.
+        """Return the estimated number of requests on the server.
 
         Parameters
         ----------
@@ -220,5 +237,5 @@
         float
         """
         age_s = now - self.reported_at
-        weight = max(0.0, 1.0 - age_s / REPORT_LIFE_S)
+        weight = max(0.0, 1.0 - age_s / LOAD_REPORT_TTL_S)
         return self.in_flight + weight * self.reported_load
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_budget.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_budget.py
@@ -1,4 +1,4 @@
-"""Bound on the repeats of a service's requests."""
+"""Retry budgets of services over a sliding window."""
 
 from __future__ import annotations
 
@@ -6,40 +6,46 @@
 
 import attrs
 
-BUCKETS = 20
-SAFETY = 0.85  # of the allowance: windows slide, and counts here go by steps
+WINDOW_BUCKETS = 20
+USABLE_ALLOWANCE_SHARE = 0.85  # buckets only approximate the sliding window
 
 
 @attrs.define(slots=True)
 class _Bucket:
-    """Counts of one step of the window.
+    """Counts of one interval of the window.
 
     Parameters
     ----------
     number : float
-        Steps since the start of the clock.
+        Number of the interval, counted from clock time 0.
+    requests, retries : int
     """
 
     number: float
     requests: int = 0
-    repeats: int = 0
+    retries: int = 0
 
 
 class ServiceRetryBudget:
-    """Share of this instance in what all instances may repeat.
+    """Share of this instance in the retries allowed to all instances.
 
-    The bound holds for any span of a window's length over all instances
-    together. The part that follows the requests is proportional to the requests
-    that this instance takes; the fixed part is split between the instances.
+    The limit applies to each service over any time span as long as the window, for
+    all instances together. The proportional allowance follows the requests that this
+    instance accepts; the fixed allowance is divided equally among the instances.
 
     Parameters
     ----------
     ratio : float
-        Repeats for each request of the window.
+        Retries per request in the window.
     window_s : float
         Length of the window, seconds.
     slack : float
-        Repeats that are allowed on top, for all instances together.
+        Additional retries per window, for all instances together.
+
+    Attributes
+    ----------
+    instances : int
+        Instances that share the fixed allowance.
     """
 
     __slots__ = ("_counts", "_ratio", "_slack", "_window_s", "instances")
@@ -60,10 +66,10 @@
         now : float
             Seconds.
         """
-        self._bucket(service, now).requests += 1
+        self._get_bucket(service, now).requests += 1
 
     def acquire_retry(self, service: str, now: float) -> bool:
-        """Spend one repeat.
+        """Take one retry from the budget.
 
         Parameters
         ----------
@@ -74,20 +80,20 @@
         Returns
         -------
         bool
-            Whether the bound allows it.
+            Whether the budget allows the retry.
         """
-        bucket = self._bucket(service, now)
+        bucket = self._get_bucket(service, now)
         counts = self._counts[service]
         requests = sum(each.requests for each in counts)
-        repeats = sum(each.repeats for each in counts)
+        retries = sum(each.retries for each in counts)
         allowed = self._ratio * requests + self._slack / max(1, self.instances)
-        if repeats + 1 > SAFETY * allowed:
+        if retries + 1 > USABLE_ALLOWANCE_SHARE * allowed:
             return False
-        bucket.repeats += 1
+        bucket.retries += 1
         return True
 
     def refund_retry(self, service: str, now: float) -> None:
-        """Take back a repeat that never reached a server.
+        """Return a retry that never reached a server to the budget.
 
         Parameters
         ----------
@@ -95,13 +101,13 @@
         now : float
             Seconds.
         """
-        self._bucket(service, now).repeats -= 1
+        self._get_bucket(service, now).retries -= 1
 
-    def _bucket(self, service: str, now: float) -> _Bucket:
-        width_s = self._window_s / BUCKETS
+    def _get_bucket(self, service: str, now: float) -> _Bucket:
+        width_s = self._window_s / WINDOW_BUCKETS
         number = now // width_s
         counts = self._counts.setdefault(service, deque())
-        while counts and counts[0].number <= number - BUCKETS:
+        while counts and counts[0].number <= number - WINDOW_BUCKETS:
             counts.popleft()
         if not counts or counts[-1].number != number:
             counts.append(_Bucket(number))
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_copy_index.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_copy_index.py
@@ -1,8 +1,8 @@
-"""Where the copies of runs are, known to some instances besides the runs' own.
+"""Index of the copies of runs, replicated to several instances.
 
-Answers the load pattern of a lost instance: all callers whose streams it carried
-come back at other instances within a tenth of a second, and reading their prompts
-again would delay each of them, and the new ones, beyond the allowed pause.
+Designed for the loss of an instance: all callers of its streams retry at other
+instances within a tenth of a second. Prefilling their prompts again would delay each
+of these streams, and the new ones, beyond the allowed gap.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-INDEX_REPLICAS = 3  # instances that know of a copy; each costs a message for each run
-MAX_INDEX_ENTRIES = 4096  # some hundred bytes each
+INDEX_REPLICAS = 3  # instances per entry; each costs one message per run
+MAX_INDEX_ENTRIES = 4096  # a few hundred bytes each
 
 
 class RunCopyLocation(NamedTuple):
-    """Copy of a run's memory.
+    """Location of the copy of a run.
 
     Parameters
     ----------
     holder_id : str
-        Server that holds the copy.
+        Id of the server with the copy.
     address : str
-        Of the holder, or of the run's engine for a copy that was asked for.
+        Address of that server, or of the run's engine for a copy made on request.
     handle : str
-        Name of the copy at the holder.
+        Name of the copy on that server.
     """
 
     holder_id: str
@@ -35,42 +35,42 @@
 
 
 class RunCopyIndex:
-    """Copies that this instance was told of, the oldest dropped first.
+    """Copies of runs known to this instance; the oldest entry is evicted first.
 
     Parameters
     ----------
     ttl_s : float
-        Age at which a statement is dropped, seconds.
+        Time to live of an entry, seconds.
     """
 
-    __slots__ = ("_life_s", "_places")
+    __slots__ = ("_entries", "_ttl_s")
 
     def __init__(self, ttl_s: float):
-        self._life_s = ttl_s
-        self._places: OrderedDict[str, tuple[float, RunCopyLocation]] = OrderedDict()
+        self._ttl_s = ttl_s
+        self._entries: OrderedDict[str, tuple[float, RunCopyLocation]] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._entries)
 
-    def record(self, key: str, place: RunCopyLocation | None, now: float) -> None:
-        """Replace what is known of a run's copy.
+    def record(self, key: str, location: RunCopyLocation | None, now: float) -> None:
+        """Replace the entry of a run.
 
         Parameters
         ----------
         key : str
             Identifies the run, see `choose_index_instances`.
-        place : RunCopyLocation or None
-            None when there is no copy any more.
+        location : RunCopyLocation or None
+            None if the run has no copy any more.
         now : float
             Seconds.
         """
-        self._places.pop(key, None)
-        if place is not None:
-            self._places[key] = (now, place)
-        self._drop_oldest(now)
+        self._entries.pop(key, None)
+        if location is not None:
+            self._entries[key] = (now, location)
+        self._evict(now)
 
     def find(self, key: str, now: float) -> RunCopyLocation | None:
-        """Return where the copy of a run is.
+        """Return the location of the copy of a run.
 
         Parameters
         ----------
@@ -82,25 +82,25 @@
         -------
         RunCopyLocation or None
         """
-        told_at, place = self._places.get(key, (now, None))
-        return place if now - told_at <= self._life_s else None
+        set_at, location = self._entries.get(key, (now, None))
+        return location if now - set_at <= self._ttl_s else None
 
-    def _drop_oldest(self, now: float) -> None:
-        while self._places:
-            told_at, _ = next(iter(self._places.values()))
-            if len(self._places) <= MAX_INDEX_ENTRIES and now - told_at <= self._life_s:
+    def _evict(self, now: float) -> None:
+        while self._entries:
+            set_at, _ = next(iter(self._entries.values()))
+            if len(self._entries) <= MAX_INDEX_ENTRIES and now - set_at <= self._ttl_s:
                 return
-            self._places.popitem(last=False)
+            self._entries.popitem(last=False)
 
 
 def choose_index_instances(key: str, instances: Iterable[str]) -> list[str]:
-    """Return the instances that know of a run's copy, wherever this is asked.
+    """Return the instances that store the entry of a run, the same on every instance.
 
     Parameters
     ----------
     key : str
-        Identifies the run by its content, so that its caller's next request has
-        the same.
+        Identifies the run by its content, so that the caller's retry has the same
+        key.
     instances : iterable of str
         Names of all instances.
 
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_directory.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_directory.py
@@ -1,4 +1,4 @@
-"""The backend servers that an instance knows, by service."""
+"""Directory of the backend servers known to an instance."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
     BackendState,
 )
 
-DOUBT_S = 0.8  # in which the other servers of a lost data centre are noticed as well
+# Losses of the remaining servers of a failed data centre are detected in this time.
+DATA_CENTRE_SUSPECT_S = 0.8
 
 
 class BackendDirectory:
-    """All backend servers by service."""
+    """Backend servers, listed or recently removed, by server id."""
 
-    __slots__ = ("_by_id", "_doubted", "_leftover")
+    __slots__ = ("_by_id", "_lost_at", "_removed")
 
     def __init__(self) -> None:
-        self._doubted: dict[str, float] = {}
+        self._lost_at: dict[str, float] = {}  # by data centre
         self._by_id: dict[str, Backend] = {}
-        self._leftover: dict[str, Backend] = {}
+        self._removed: dict[str, Backend] = {}
 
     def __iter__(self) -> Iterator[Backend]:
         return iter(self._by_id.values())
 
     def find(self, server_id: str) -> Backend | None:
-        """Return the present process of a server.
+        """Return the listed process of a server.
 
         Parameters
         ----------
@@ -42,7 +43,7 @@
         return self._by_id.get(server_id)
 
     def put(self, entry: BackendEntry, now: float) -> Backend:
-        """Take over a new or changed entry.
+        """Add or update an entry.
 
         Parameters
         ----------
@@ -53,20 +54,21 @@
         Returns
         -------
         Backend
-            The state that was known, unless the process started anew or moved.
+            The existing object, or a new one if the process restarted or its
+            address changed.
         """
-        known = self._by_id.get(entry.server_id) or self._leftover.get(entry.server_id)
-        self._leftover.pop(entry.server_id, None)
+        known = self._by_id.get(entry.server_id) or self._removed.get(entry.server_id)
+        self._removed.pop(entry.server_id, None)
         if known is None or not _is_same_process(known.entry, entry):
             known = Backend(entry)
         known.entry = entry
         known.removed_at = None
         self._by_id[entry.server_id] = known
-        self._doubt_predecessors(entry, now)
+        self._suspect_predecessors(entry, now)
         return known
 
     def remove(self, server_id: str, now: float) -> None:
-        """Take note that an entry is gone.
+        """Remove an entry; its server stays usable for `REMOVED_USABLE_S`.
 
         Parameters
         ----------
@@ -78,20 +80,20 @@
         if backend is None:
             return
         backend.removed_at = now
-        self._leftover[server_id] = backend
-        for name, each in list(self._leftover.items()):
+        self._removed[server_id] = backend
+        for name, each in list(self._removed.items()):
             if now - (each.removed_at or now) >= REMOVED_USABLE_S:
-                del self._leftover[name]
+                del self._removed[name]
 
-    def _doubt_predecessors(self, entry: BackendEntry, now: float) -> None:
-        """Keep work away from older entries that name the same address."""
+    def _suspect_predecessors(self, entry: BackendEntry, now: float) -> None:
+        """Suspect older entries with the same address."""
         for each in self._by_id.values():
             is_older = each.entry.address == entry.address
             if is_older and each.server_id != entry.server_id:
                 each.record_replaced(now)
 
     def record_unreachable(self, backend: Backend, now: float) -> None:
-        """Take note that a server could not be reached.
+        """Suspect an unreachable server and its data centre.
 
         Parameters
         ----------
@@ -100,10 +102,10 @@
             Seconds.
         """
         backend.record_unreachable(now)
-        self._doubted[backend.entry.data_centre] = now
+        self._lost_at[backend.entry.data_centre] = now
 
     def count_suspects(self, data_centre: str, now: float) -> int:
-        """Return the servers of a data centre that get no new work.
+        """Return the number of suspect servers in a data centre.
 
         Parameters
         ----------
@@ -121,10 +123,10 @@
         )
 
     def is_suspect_data_centre(self, data_centre: str, now: float) -> bool:
-        """Tell whether a server of a data centre was lost a moment ago.
+        """Return whether a server of a data centre was lost recently.
 
-        Servers of a data centre tend to fail together, and the loss of the next
-        one is only noticed by trying it.
+        Servers of a data centre tend to fail together, and each further loss is
+        only detected by sending a request.
 
         Parameters
         ----------
@@ -132,12 +134,12 @@
         now : float
             Seconds.
         """
-        return now - self._doubted.get(data_centre, -math.inf) < DOUBT_S
+        return now - self._lost_at.get(data_centre, -math.inf) < DATA_CENTRE_SUSPECT_S
 
     def avoid_suspect_data_centres(
         self, candidates: list[Backend], now: float
     ) -> list[Backend]:
-        """Return the servers of data centres without a fresh loss, if there are any.
+        """Return the candidates outside suspect data centres, or all if none are.
 
         Parameters
         ----------
@@ -149,19 +151,19 @@
         -------
         list of Backend
         """
-        calm = [
+        unsuspected = [
             each
             for each in candidates
             if not self.is_suspect_data_centre(each.entry.data_centre, now)
         ]
-        return calm or candidates
+        return unsuspected or candidates
 
     def list_usable(
         self, service: str, now: float, excluded: Iterable[tuple[str, int]] = ()
     ) -> list[Backend]:
-        """Return the servers of a service that new work may be sent to.
+        """Return the servers of a service that may get new requests.
 
-        Where there are none, those whose entries are gone for a moment only.
+        If the service has no entries at all, recently removed servers are returned.
 
         Parameters
         ----------
@@ -169,54 +171,54 @@
         now : float
             Seconds.
         excluded : iterable of (str, int)
-            Keys of processes that must not be chosen.
+            Keys of processes to leave out.
 
         Returns
         -------
         list of Backend
         """
-        barred = frozenset(excluded)
+        excluded_keys = frozenset(excluded)
         usable = [
             each
             for each in self._by_id.values()
             if each.entry.service == service
-            and each.key not in barred
+            and each.key not in excluded_keys
             and each.is_usable(now)
         ]
         if usable or self._has_entries(service):
             return usable
         return [
             each
-            for each in self._leftover.values()
+            for each in self._removed.values()
             if each.entry.service == service
-            and each.key not in barred
+            and each.key not in excluded_keys
             and each.is_usable_after_removal(now)
         ]
 
     def list_ready(
         self, service: str, excluded: Iterable[tuple[str, int]] = ()
     ) -> list[Backend]:
-        """Return the listed servers of a service, also those under suspicion.
+        """Return the listed, ready servers of a service, including suspect ones.
 
-        A short request rather tries one of these than being refused, as a
-        connection that is not made proves that nothing ran.
+        A short request tries a suspect server rather than being rejected, because a
+        failed connection attempt proves that the request was not run.
 
         Parameters
         ----------
         service : str
         excluded : iterable of (str, int)
-            Keys of processes that must not be chosen.
+            Keys of processes to leave out.
 
         Returns
         -------
         list of Backend
         """
-        barred = frozenset(excluded)
+        excluded_keys = frozenset(excluded)
         return [
             each
             for each in self._by_id.values()
             if each.entry.service == service
-            and each.key not in barred
+            and each.key not in excluded_keys
             and each.entry.state is BackendState.READY
         ]
 
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_placement.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_placement.py
@@ -1,8 +1,8 @@
-"""Placement of generations and of the copies of their memory.
+"""Placement of generations and of copies of their memory on engines.
 
-Answers two load patterns: a burst, where prompts that are read at the same time
-on one engine delay each other, and the loss of a whole data centre, where all its
-runs go on at once on the engines that hold their copies.
+Designed for two load patterns: a burst of requests, where concurrent prefills on
+one engine delay each other, and the loss of a data centre, where all its runs resume
+at the same time on the engines with their copies.
 """
 
 from __future__ import annotations
@@ -14,22 +14,25 @@
 
 from ebonyhaven_decisions.forwarding._backends import Backend
 
-MEMORY_SHARE = 0.92  # the rest is left to the growth of runs whose end is unknown
-PREFILL_WEIGHT = 3.0  # a prompt that is being read delays all neighbours
-COPY_WEIGHT = 0.6  # a copy takes room and no time
-SLOWNESS_WEIGHT = 1.0
-JITTER = 0.15  # in units of one run
+USABLE_MEMORY_SHARE = 0.92  # leaves memory for runs of unknown output length
+PREFILL_WEIGHT = 3.0  # a prefill delays all other runs on the engine
+COPY_WEIGHT = 0.6  # a copy occupies memory but no compute time
+FAILURE_COST_RUNS = 1.0
+JITTER_RUNS = 0.15
 TYPICAL_RUN_TOKENS = 8000.0
-PREFERRED_ENGINES = 2  # one of them is usually not reading another prompt
-AWAY_COST = 2.0  # in runs, for the others: less than a prompt being read costs
+PREFERRED_ENGINE_COUNT = 2  # usually, at least one of them has no prefill in progress
+NON_PREFERRED_COST_RUNS = 2.0  # below the cost of a prefill in progress
 
 
 class EngineUse(NamedTuple):
-    """What the requests of one instance occupy on an engine.
+    """Tokens that the requests of an instance occupy on an engine.
 
     Parameters
     ----------
-    run_tokens, copy_tokens, prefill_tokens : int
+    run_tokens, copy_tokens : int
+        Engine memory of runs and of copies.
+    prefill_tokens : int
+        Prompt tokens that the engine has yet to prefill.
     """
 
     run_tokens: int = 0
@@ -38,12 +41,13 @@
 
 
 class TokenDemand(NamedTuple):
-    """What a generation needs on an engine.
+    """Engine memory that a generation requires.
 
     Parameters
     ----------
-    prompt_tokens, output_tokens : int
-        The output at most.
+    prompt_tokens : int
+    output_tokens : int
+        Maximum length of the output.
     """
 
     prompt_tokens: int
@@ -51,27 +55,27 @@
 
     @property
     def tokens(self) -> int:
-        """Memory at its end."""
+        """Memory at the end of a generation of maximum length."""
         return self.prompt_tokens + self.output_tokens
 
 
 class PeerEngineUse:
-    """What the other instances say they occupy on engines.
+    """Usage of engines as reported by the other instances.
 
     Parameters
     ----------
     ttl_s : float
-        Age at which a statement is dropped, seconds.
+        Age after which a report is dropped, seconds.
     """
 
-    __slots__ = ("_life_s", "_statements")
+    __slots__ = ("_reports", "_ttl_s")
 
     def __init__(self, ttl_s: float):
-        self._life_s = ttl_s
-        self._statements: dict[str, tuple[float, Mapping[str, EngineUse]]] = {}
+        self._ttl_s = ttl_s
+        self._reports: dict[str, tuple[float, Mapping[str, EngineUse]]] = {}
 
     def record(self, peer: str, uses: Mapping[str, EngineUse], now: float) -> None:
-        """Replace what a peer said before.
+        """Replace the report of a peer.
 
         Parameters
         ----------
@@ -81,10 +85,10 @@
         now : float
             Seconds.
         """
-        self._statements[peer] = (now, uses)
+        self._reports[peer] = (now, uses)
 
     def sum_by_server(self, now: float) -> dict[str, EngineUse]:
-        """Return what all peers occupy.
+        """Return the usage of all peers together.
 
         Parameters
         ----------
@@ -97,14 +101,14 @@
             By server id.
         """
         total: dict[str, EngineUse] = {}
-        for peer, (said_at, uses) in list(self._statements.items()):
-            if now - said_at > self._life_s:
-                del self._statements[peer]
+        for peer, (reported_at, uses) in list(self._reports.items()):
+            if now - reported_at > self._ttl_s:
+                del self._reports[peer]
                 continue
             for server_id, use in uses.items():
-                known = total.get(server_id, EngineUse())
+                subtotal = total.get(server_id, EngineUse())
                 total[server_id] = EngineUse(
-                    *(a + b for a, b in zip(known, use, strict=True))
+                    *(a + b for a, b in zip(subtotal, use, strict=True))
                 )
         return total
 
@@ -124,53 +128,53 @@
     memory_tokens: int,
     peers: Mapping[str, EngineUse],
 ) -> bool:
-    """Tell whether a generation fits beside what an engine has.
+    """Return whether a generation fits into the free memory of an engine.
 
     Parameters
     ----------
     backend : Backend
     demand : TokenDemand
     memory_tokens : int
-        Memory of the engine.
+        Memory capacity of the engine.
     peers : mapping of str to EngineUse
-        What other instances occupy.
+        Usage of the other instances, by server id.
     """
     use = _estimate_use(backend, peers)
-    taken = use.run_tokens + use.copy_tokens
-    return taken + demand.tokens <= MEMORY_SHARE * memory_tokens
+    used_tokens = use.run_tokens + use.copy_tokens
+    return used_tokens + demand.tokens <= USABLE_MEMORY_SHARE * memory_tokens
 
 
 def count_queued_prefill_tokens(
     backend: Backend, peers: Mapping[str, EngineUse]
 ) -> int:
-    """Return the tokens of prompts that an engine still has to read.
+    """Return the prompt tokens that an engine has yet to prefill.
 
     Parameters
     ----------
     backend : Backend
     peers : mapping of str to EngineUse
-        What other instances occupy.
+        Usage of the other instances, by server id.
     """
     return _estimate_use(backend, peers).prefill_tokens
 
 
 def is_prompt_admitted(*, waited_s: float, queue_s: float, target_s: float) -> bool:
-    """Tell whether a prompt may go to an engine now.
+    """Return whether a prompt may be sent to an engine now.
 
-    Answers the load pattern of more prompts than engines can read: served in the
-    order of their arrival, all of them come late. A stream that is late already, or
-    would be behind the prompts on its engine, therefore waits for an engine that
-    reads none, and those that can still be on time go first.
+    Designed for overload of prefill capacity, where serving prompts in order of arrival
+    makes all of them miss their target. Streams that can still meet the target go
+    first. A stream that has missed it, or would miss it behind the prompts queued on
+    the engine, waits for an engine with an empty prefill queue.
 
     Parameters
     ----------
     waited_s : float
         Time since the request arrived, or since the last event of its stream.
     queue_s : float
-        Time to read the prompts on the engine, this one too; 0 for an engine that
-        reads none.
+        Time to prefill the prompts queued on the engine and this one; 0 if the
+        engine has no queued prompt.
     target_s : float
-        Time within which its next event is on time.
+        Target for the time to the next event.
     """
     return queue_s == 0.0 or waited_s + queue_s <= target_s
 
@@ -178,36 +182,39 @@
 def select_preferred_engines(
     prompt_id: str, candidates: Sequence[Backend]
 ) -> frozenset[str]:
-    """Return the engines that a prompt goes to first, wherever it arrives.
+    """Return the preferred engines of a prompt, the same on every instance.
 
-    A request that comes back at another instance, after the loss of its own, then
-    meets the engine that still keeps its prompt; and requests that arrive at
-    several instances at once do not all choose the engine that looked idle.
+    A request that is retried at another instance, after the loss of the first one,
+    then reaches the engine that still caches its prompt. Requests that arrive at
+    several instances at the same time do not all choose the same idle engine.
 
     Parameters
     ----------
     prompt_id : str
-        Identifies the part of the prompt that no other request shares.
+        Identifies the part of the prompt that is unique to the request.
     candidates : sequence of Backend
 
     Returns
     -------
     frozenset of str
-        Server ids, chosen by rendezvous hashing.
+        Server ids, by rendezvous hashing.
     """
 
     def weigh(backend: Backend) -> int:
         return zlib.crc32(f"{prompt_id}/{backend.server_id}".encode())
 
     ordered = sorted(candidates, key=weigh, reverse=True)
-    return frozenset(each.server_id for each in ordered[:PREFERRED_ENGINES])
+    return frozenset(each.server_id for each in ordered[:PREFERRED_ENGINE_COUNT])
 
 
 def _estimate_cost(use: EngineUse, backend: Backend, rng: random.Random) -> float:
-    busy = use.run_tokens + COPY_WEIGHT * use.copy_tokens
-    busy += PREFILL_WEIGHT * use.prefill_tokens
-    cost = busy / TYPICAL_RUN_TOKENS + SLOWNESS_WEIGHT * backend.failure_share
-    return cost + JITTER * rng.random()
+    """Return the cost of one more run on an engine, in typical runs."""
+    weighted_tokens = use.run_tokens + COPY_WEIGHT * use.copy_tokens
+    weighted_tokens += PREFILL_WEIGHT * use.prefill_tokens
+    cost = (
+        weighted_tokens / TYPICAL_RUN_TOKENS + FAILURE_COST_RUNS * backend.failure_share
+    )
+    return cost + JITTER_RUNS * rng.random()
 
 
 def choose_engine(
@@ -219,7 +226,7 @@
     rng: random.Random,
     prompt_id: str = "",
 ) -> Backend | None:
-    """Return the engine on which a generation delays others least.
+    """Return the engine with the lowest estimated cost for a generation.
 
     Parameters
     ----------
@@ -227,17 +234,17 @@
         Usable engines.
     demand : TokenDemand
     memory_tokens : int
-        Memory of one engine.
+        Memory capacity of one engine.
     peers : mapping of str to EngineUse
-        What other instances occupy, by server id.
+        Usage of the other instances, by server id.
     rng : random.Random
     prompt_id : str
-        See `select_preferred_engines`; empty for none.
+        See `select_preferred_engines`; empty for no preference.
 
     Returns
     -------
     Backend or None
-        None when no engine has room.
+        None if the generation fits on no engine.
     """
     fitting = [
         each
@@ -252,7 +259,9 @@
 
     def estimate(backend: Backend) -> float:
         cost = _estimate_cost(_estimate_use(backend, peers), backend, rng)
-        return cost + (0.0 if backend.server_id in preferred else AWAY_COST)
+        return cost + (
+            0.0 if backend.server_id in preferred else NON_PREFERRED_COST_RUNS
+        )
 
     return min(fitting, key=estimate)
 
@@ -267,38 +276,38 @@
     rng: random.Random,
     is_suspect_data_centre: Callable[[str], bool] = lambda _: False,
 ) -> Backend | None:
-    """Return the engine that is to hold the copy of a run.
+    """Return the engine for the copy of a run.
 
-    It is in another data centre than the run where there is one, as the engines
-    of a data centre tend to fail together; rather in one with a fresh loss, whose
-    engines are about to be back, than in the run's own.
+    Engines in other data centres than the run's are preferred, because the engines of
+    a data centre tend to fail together. A suspect data centre, whose engines are about
+    to recover, is still preferred to the data centre of the run.
 
     Parameters
     ----------
     candidates : sequence of Backend
         Usable engines.
     source : Backend
-        Engine of the run.
+        Engine with the run.
     demand : TokenDemand
     memory_tokens : int
-        Memory of one engine.
+        Memory capacity of one engine.
     peers : mapping of str to EngineUse
-        What other instances occupy, by server id.
+        Usage of the other instances, by server id.
     rng : random.Random
     is_suspect_data_centre : callable
-        Tells for a data centre whether it had a fresh loss.
+        Returns for a data centre whether it is suspect.
 
     Returns
     -------
     Backend or None
     """
     others = [each for each in candidates if each.key != source.key]
-    home = source.entry.data_centre
-    elsewhere = [each for each in others if each.entry.data_centre != home]
-    calm = [
-        each for each in elsewhere if not is_suspect_data_centre(each.entry.data_centre)
+    source_data_centre = source.entry.data_centre
+    remote = [each for each in others if each.entry.data_centre != source_data_centre]
+    unsuspected = [
+        each for each in remote if not is_suspect_data_centre(each.entry.data_centre)
     ]
-    for group in (calm, elsewhere, others):
+    for group in (unsuspected, remote, others):
         chosen = choose_engine(
             group, demand=demand, memory_tokens=memory_tokens, peers=peers, rng=rng
         )
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_routes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and whose it is."""
+"""Routing configuration: routes, services, workspaces and caller limits."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be done with a request that may have run already."""
+    """Type of a request; determines whether it may be retried after it ran."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -18,7 +18,7 @@
 
 
 class ServiceShare(NamedTuple):
-    """Part of a route's traffic that goes to one service.
+    """Share of a route's traffic that is sent to one service.
 
     Parameters
     ----------
@@ -32,27 +32,27 @@
 
 
 class Route(NamedTuple):
-    """One class of work as the operator states it.
+    """One route of the operator's configuration.
 
     Parameters
     ----------
     name, host, path_prefix : str
     kind : RequestKind
     timeout_s : float
-        Longest time that a request is kept without its final answer.
+        Maximum time from the arrival of a request to its complete response.
     target_latency_s : float
-        Time within which the answer, or the first event, is on time.
+        Target for the time to the response, or to the first event of a stream.
     target_gap_s : float
-        Longest pause between events that is on time; 0 when there is no target.
+        Target for the gap between two events; 0 for no target.
     priority : int
-        Rank, 0 is the most urgent.
+        0 is the most urgent.
     shares : tuple of ServiceShare
     max_attempts : int
-        Servers that one request may be run on.
+        Maximum number of servers that may run one request.
     is_anonymous : bool
-        Whether requests need no key.
+        Whether requests are accepted without an API key.
     is_resumable : bool
-        Whether a stream may go on at another server.
+        Whether a stream may resume on another server.
     """
 
     name: str
@@ -70,27 +70,27 @@
 
     @property
     def may_retry(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request may be retried although it may have run."""
         if self.kind is RequestKind.STREAM:
             return self.is_resumable
         return self.kind is RequestKind.IDEMPOTENT
 
 
 class EngineTraits(NamedTuple):
-    """What the model engines of a service can do.
+    """Capacity and copy features of the model engines of a service.
 
     Parameters
     ----------
     slots : int
-        Requests in one batch.
+        Maximum batch size, requests.
     memory_tokens : int
-        Tokens that the memory of one engine holds.
+        Memory capacity of one engine.
     copies_continuously : bool
-        Whether an engine sends the memory of a run to another one as it grows.
+        Whether an engine copies the memory of a run to another engine as it grows.
     copies_on_request : bool
-        Whether an engine copies the memory of a run when asked.
+        Whether an engine copies the memory of a run on request.
     copy_ttl_s : float
-        How long a copy stays without news of its run.
+        Time after which an engine drops a copy that is not refreshed.
     """
 
     slots: int
@@ -101,13 +101,13 @@
 
 
 class Service(NamedTuple):
-    """A set of equal backend servers.
+    """A set of interchangeable backend servers.
 
     Parameters
     ----------
     name : str
     max_connections : int
-        Connections that one server accepts from all instances together.
+        Maximum connections to one server, from all instances together.
     engine : EngineTraits or None
         None for a service without model engines.
     """
@@ -124,7 +124,7 @@
     ----------
     name : str
     priority : int or None
-        Goes before the priority of routes.
+        Overrides the priority of routes.
     """
 
     name: str
@@ -132,12 +132,16 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bounds on what callers may send, and how slowly.
+    """Limits on the size and the arrival time of caller requests.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
-    header_timeout_s, idle_timeout_s : float
+        Maximum sizes.
+    header_timeout_s : float
+        Time for the complete request headers.
+    idle_timeout_s : float
+        Time for the request body, and time after which an idle connection is closed.
     """
 
     header_bytes: int = 16 * 1024
@@ -147,18 +151,18 @@
 
 
 class RoutingConfiguration(NamedTuple):
-    """One version of everything the operator states.
+    """One version of the operator's configuration.
 
     Parameters
     ----------
     version : int
     routes : mapping of str to tuple of Route
-        By host in lower case; the longest prefix first.
+        By host in lower case, sorted by descending prefix length.
     services : mapping of str to Service
     workspaces : mapping of str to Workspace
-        By key.
+        By API key.
     requires_keys : bool
-        Whether requests need a key at all.
+        Whether an API key is required on routes that are not anonymous.
     limits : CallerLimits
     """
 
@@ -170,7 +174,7 @@
     limits: CallerLimits
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path.
+        """Return the route with the longest prefix that matches a path.
 
         Parameters
         ----------
@@ -190,7 +194,7 @@
 
 
 def group_routes(routes: list[Route]) -> dict[str, tuple[Route, ...]]:
-    """Return routes by host, the longest prefix first.
+    """Return routes by host, sorted by descending prefix length.
 
     Parameters
     ----------
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_selection.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_selection.py
@@ -1,7 +1,7 @@
-"""Choice of a backend server for a short request.
+"""Selection of a backend server for a short request.
 
-Answers the load pattern of many instances that send to few servers, each of them
-knowing the others' requests only from what servers report with their answers.
+Designed for many instances that send requests to few servers, where an instance
+knows the load from other instances only from the load reports in responses.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 from ebonyhaven_decisions.forwarding._backends import Backend
 
-FAILURE_WEIGHT = 3.0  # a server that fails a third of its requests counts twice
-DISTANCE_WEIGHT = 0.05  # decides between servers that are equally loaded
-JITTER = 0.1  # keeps instances with the same view from choosing the same server
+FAILURE_WEIGHT = 3.0  # doubles the cost of a server that fails a third of its requests
+REMOTE_DATA_CENTRE_COST = 0.05  # breaks ties between equally loaded servers
+JITTER_SHARE = 0.1  # prevents instances with equal views from choosing the same server
 
 
 def choose_backend(
@@ -23,14 +23,14 @@
     now: float,
     rng: random.Random,
 ) -> Backend | None:
-    """Return the server that is likely to answer first.
+    """Return the server with the lowest estimated response time.
 
     Parameters
     ----------
     candidates : sequence of Backend
         Usable servers.
     data_centre : str
-        Where this instance is.
+        Data centre of this instance.
     now : float
         Seconds.
     rng : random.Random
@@ -44,9 +44,9 @@
 
     def estimate_cost(backend: Backend) -> float:
         load = (1.0 + backend.estimate_load(now)) / max(1, backend.entry.slots)
-        cost = (load + backend.latency_s) * (1.0 + JITTER * rng.random())
+        cost = (load + backend.latency_s) * (1.0 + JITTER_SHARE * rng.random())
         cost *= 1.0 + FAILURE_WEIGHT * backend.failure_share
-        is_far = backend.entry.data_centre != data_centre
-        return cost + (DISTANCE_WEIGHT if is_far else 0.0)
+        is_remote = backend.entry.data_centre != data_centre
+        return cost + (REMOTE_DATA_CENTRE_COST if is_remote else 0.0)
 
     return min(candidates, key=estimate_cost)
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_stream_timing.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_stream_timing.py
@@ -1,4 +1,4 @@
-"""How fast streams go on: when one is lost, and when one cannot end in time."""
+"""Time limits of streams: silence of a server and expected duration."""
 
 from __future__ import annotations
 
@@ -6,46 +6,50 @@
 
 import attrs
 
-GAP_SHARE = 0.5  # of the longest pause on time; the rest is for going on elsewhere
-GAP_SHARE_ALIVE = 3.0  # without a copy, a server that accepts connections is waited for
-LONGEST_GAP_FACTOR = 2.5  # over the longest pause that this stream had
-CHECK_FACTOR = 1.3  # over the estimate of a first event
-CHECK_MIN_SHARE = 0.3  # of the target for a first event
-FIRST_EVENT_FACTOR = 2.5  # over the estimate
-FIRST_EVENT_MIN_SHARE = 0.6  # of the target; a second try still has to fit
-SERVER_PROBE_INTERVAL_S = 0.5  # between two checks of a server that accepts connections
-DEFAULT_GAP_S = 1.0  # for routes without a target for pauses
+GAP_TARGET_SHARE = 0.5  # leaves the other half of the target for the resume
+# Without a copy, the stream waits for a server that still accepts connections,
+# because a resume would prefill the prompt again.
+GAP_TARGET_FACTOR_WITHOUT_COPY = 3.0
+LONGEST_GAP_FACTOR = 2.5  # of the longest gap of the stream so far
+FIRST_EVENT_PROBE_FACTOR = 1.3  # of the estimated time
+FIRST_EVENT_PROBE_MIN_SHARE = 0.3  # of the target
+FIRST_EVENT_RESUME_FACTOR = 2.5  # of the estimated time
+FIRST_EVENT_RESUME_MIN_SHARE = 0.6  # of the target; leaves time for a second attempt
+SERVER_PROBE_INTERVAL_S = 0.5  # for a silent server that accepts connections
+DEFAULT_GAP_TARGET_S = 1.0  # for routes without a gap target
 DEFAULT_TOKENS_PER_S = 8000.0
-SMOOTHING = 0.1
-SHORT_ANSWER_SHARE = 0.6  # of the usual time; few answers take less
+SMOOTHING_FACTOR = 0.1
+SHORT_STREAM_SHARE = 0.6  # of the average duration; few streams are shorter
 
 
 @attrs.define(slots=True)
 class PrefillRate:
-    """Speed at which engines read prompts, from own observations.
+    """Prefill rate of engines as observed by this instance.
 
     Parameters
     ----------
     tokens_per_s : float
+        Moving average.
     """
 
     tokens_per_s: float = DEFAULT_TOKENS_PER_S
 
     def record(self, tokens: int, elapsed_s: float) -> None:
-        """Take in the time to a first event.
+        """Update the rate with the time to a first event.
 
         Parameters
         ----------
         tokens : int
-            Prompt tokens that were read.
+            Prompt tokens of the prefill.
         elapsed_s : float
+            Time from sending the request to its first event.
         """
         if tokens <= 0 or elapsed_s <= 0.0:
             return
-        self.tokens_per_s += SMOOTHING * (tokens / elapsed_s - self.tokens_per_s)
+        self.tokens_per_s += SMOOTHING_FACTOR * (tokens / elapsed_s - self.tokens_per_s)
 
     def estimate_s(self, tokens: int) -> float:
-        """Return the time to read a prompt.
+        """Return the expected duration of a prefill.
 
         Parameters
         ----------
@@ -61,17 +65,18 @@
 
 @attrs.define(slots=True)
 class StreamDurations:
-    """How long whole answers of one route take, from own observations.
+    """Moving averages over the complete streams of one route on this instance.
 
-    All are 0 until the first one, so that nothing is ruled out without evidence.
+    All are 0 until the first stream completes; no request is rejected until then.
 
     Parameters
     ----------
     first_event_s : float
-        From the sending of a request to its first event.
+        Time from sending the request to its first event.
     streaming_s : float
-        From the first event to the end.
+        Time from the first event to the end of the stream.
     events : float
+        Events per stream.
     """
 
     first_event_s: float = 0.0
@@ -79,14 +84,14 @@
     events: float = 0.0
 
     def record(self, *, first_event_s: float, streaming_s: float, events: int) -> None:
-        """Take in a whole answer.
+        """Update the averages with a complete stream.
 
         Parameters
         ----------
         first_event_s, streaming_s : float
         events : int
         """
-        weight = SMOOTHING if self.events else 1.0
+        weight = SMOOTHING_FACTOR if self.events else 1.0
         self.first_event_s += weight * (first_event_s - self.first_event_s)
         self.streaming_s += weight * (streaming_s - self.streaming_s)
         self.events += weight * (events - self.events)
@@ -94,23 +99,24 @@
     def can_finish_in_time(
         self, *, remaining_s: float, events_delivered: int, has_copy: bool
     ) -> bool:
-        """Tell whether an answer that starts now may be whole before its caller leaves.
+        """Return whether a stream that starts now can complete before its deadline.
 
-        Answers the load pattern of callers that come back late: those whose
-        connection fell silent wait for many seconds, return together, and their
-        prompts would be read for answers that nobody waits for.
+        Designed for callers that retry late: callers whose connections fell silent
+        wait for many seconds, then retry at the same time. Their prompts would be
+        prefilled for streams that no caller waits for any more.
 
-        As only answers within their time are taken in, a request that has
-        `SHORT_ANSWER_SHARE` of the time of its route left is never ruled out.
+        Only streams that completed before their deadline are recorded. A request with
+        `SHORT_STREAM_SHARE` of its route's timeout remaining is therefore never
+        rejected.
 
         Parameters
         ----------
         remaining_s : float
-            Time that the caller has left.
+            Time until the deadline of the caller.
         events_delivered : int
-            Events that the caller has already.
+            Events that the caller already has.
         has_copy : bool
-            Whether the prompt need not be read.
+            Whether the stream can resume from a copy, without a prefill.
 
         Returns
         -------
@@ -118,22 +124,23 @@
         """
         if not self.events:
             return True
-        left_share = max(0.0, 1.0 - events_delivered / self.events)
-        usual_s = left_share * self.streaming_s
+        remaining_share = max(0.0, 1.0 - events_delivered / self.events)
+        expected_s = remaining_share * self.streaming_s
         if not has_copy:
-            usual_s += self.first_event_s
-        return remaining_s >= SHORT_ANSWER_SHARE * usual_s
+            expected_s += self.first_event_s
+        return remaining_s >= SHORT_STREAM_SHARE * expected_s
 
 
 class SilenceLimits(NamedTuple):
-    """How long a server may be silent.
+    """How long the server of a stream may be silent.
 
     Parameters
     ----------
     probe_after_s : float
-        Silence after which it is checked whether it accepts connections.
+        Silence after which the server is probed with a new connection.
     resume_after_s : float
-        Silence after which the stream goes on elsewhere in any case.
+        Silence after which the stream resumes on another server, whatever the
+        result of the probe.
     """
 
     probe_after_s: float
@@ -143,26 +150,28 @@
 def compute_first_event_limits(
     *, target_latency_s: float, estimate_s: float
 ) -> SilenceLimits:
-    """Return how long to wait for the first event of a stream.
+    """Return the silence limits until the first event of a stream.
 
     Parameters
     ----------
     target_latency_s : float
-        Time within which the first event is on time.
+        Target for the time to the first event.
     estimate_s : float
-        Time that reading the prompts before it is expected to take.
+        Expected duration of the prefills queued on the engine.
 
     Returns
     -------
     SilenceLimits
-        From the sending of the request.
+        Measured from sending the request.
     """
     return SilenceLimits(
         probe_after_s=max(
-            CHECK_MIN_SHARE * target_latency_s, CHECK_FACTOR * estimate_s
+            FIRST_EVENT_PROBE_MIN_SHARE * target_latency_s,
+            FIRST_EVENT_PROBE_FACTOR * estimate_s,
         ),
         resume_after_s=max(
-            FIRST_EVENT_MIN_SHARE * target_latency_s, FIRST_EVENT_FACTOR * estimate_s
+            FIRST_EVENT_RESUME_MIN_SHARE * target_latency_s,
+            FIRST_EVENT_RESUME_FACTOR * estimate_s,
         ),
     )
 
@@ -170,27 +179,27 @@
 def compute_gap_limits(
     *, target_gap_s: float, longest_gap_s: float, has_copy: bool
 ) -> SilenceLimits:
-    """Return how long to wait for the next event of a stream.
+    """Return the silence limits between two events of a stream.
 
     Parameters
     ----------
     target_gap_s : float
-        Longest pause that is on time, 0 when there is no target.
+        Target for the gap between two events; 0 for no target.
     longest_gap_s : float
-        Longest pause that this stream has had on its present server.
+        Longest gap between two events of the stream on its current server.
     has_copy : bool
-        Whether the stream can go on without reading its prompt again.
+        Whether the stream can resume from a copy, without a prefill.
 
     Returns
     -------
     SilenceLimits
-        From the last event.
+        Measured from the last event.
     """
-    target_s = target_gap_s or DEFAULT_GAP_S
-    usual_s = max(GAP_SHARE * target_s, LONGEST_GAP_FACTOR * longest_gap_s)
-    lost_s = min(usual_s, target_s)
+    target_s = target_gap_s or DEFAULT_GAP_TARGET_S
+    tolerated_s = max(GAP_TARGET_SHARE * target_s, LONGEST_GAP_FACTOR * longest_gap_s)
+    limit_s = min(tolerated_s, target_s)
     if has_copy:
-        return SilenceLimits(probe_after_s=lost_s, resume_after_s=lost_s)
+        return SilenceLimits(probe_after_s=limit_s, resume_after_s=limit_s)
     return SilenceLimits(
-        probe_after_s=lost_s, resume_after_s=GAP_SHARE_ALIVE * target_s
+        probe_after_s=limit_s, resume_after_s=GAP_TARGET_FACTOR_WITHOUT_COPY * target_s
     )
--- a/tests/decisions/test_copy_index.py
+++ b/tests/decisions/test_copy_index.py
@@ -10,23 +10,26 @@
     MAX_INDEX_ENTRIES,
 )
 
-PLACE = RunCopyLocation("e-1", "10.0.0.1:9001", "r1")
+LOCATION = RunCopyLocation("e-1", "10.0.0.1:9001", "r1")
 INSTANCES = [f"n{number}" for number in range(12)]
 
 
-def test_all_instances_name_the_same_keepers():
-    keepers = choose_index_instances("abc", INSTANCES)
-    assert len(set(keepers)) == INDEX_REPLICAS
-    assert choose_index_instances("abc", reversed(INSTANCES)) == keepers
+def test_all_instances_choose_the_same_index_instances():
+    chosen_instances = choose_index_instances("abc", INSTANCES)
+    assert len(set(chosen_instances)) == INDEX_REPLICAS
+    assert choose_index_instances("abc", reversed(INSTANCES)) == chosen_instances
 
 
-def test_loss_of_an_instance_moves_only_its_own_part():
-    keepers = choose_index_instances("abc", INSTANCES)
-    left = [name for name in INSTANCES if name != keepers[0]]
-    assert choose_index_instances("abc", left)[: INDEX_REPLICAS - 1] == keepers[1:]
+def test_loss_of_an_instance_keeps_the_other_index_instances():
+    chosen_instances = choose_index_instances("abc", INSTANCES)
+    remaining = [name for name in INSTANCES if name != chosen_instances[0]]
+    assert (
+        choose_index_instances("abc", remaining)[: INDEX_REPLICAS - 1]
+        == chosen_instances[1:]
+    )
 
 
-def test_runs_are_spread_over_the_instances():
+def test_entries_are_spread_over_all_instances():
     chosen = {
         name
         for key in range(40)
@@ -35,21 +38,21 @@
     assert chosen == set(INSTANCES)
 
 
-def test_a_copy_is_known_until_it_is_taken_back():
-    places = RunCopyIndex(30.0)
-    places.record("abc", PLACE, 100.0)
-    assert places.find("abc", 101.0) == PLACE
-    assert places.find("other", 101.0) is None
-    places.record("abc", None, 102.0)
-    assert places.find("abc", 102.0) is None
+def test_copy_is_found_until_its_entry_is_removed():
+    index = RunCopyIndex(30.0)
+    index.record("abc", LOCATION, 100.0)
+    assert index.find("abc", 101.0) == LOCATION
+    assert index.find("other", 101.0) is None
+    index.record("abc", None, 102.0)
+    assert index.find("abc", 102.0) is None
 
 
-def test_old_statements_and_those_beyond_the_limit_are_dropped():
-    places = RunCopyIndex(30.0)
-    places.record("old", PLACE, 100.0)
-    assert places.find("old", 130.1) is None
+def test_expired_and_excess_entries_are_evicted():
+    index = RunCopyIndex(30.0)
+    index.record("old", LOCATION, 100.0)
+    assert index.find("old", 130.1) is None
     for number in range(MAX_INDEX_ENTRIES + 5):
-        places.record(str(number), PLACE, 131.0)
-    assert len(places) == MAX_INDEX_ENTRIES
-    assert places.find("0", 131.0) is None
-    assert places.find(str(MAX_INDEX_ENTRIES), 131.0) == PLACE
+        index.record(str(number), LOCATION, 131.0)
+    assert len(index) == MAX_INDEX_ENTRIES
+    assert index.find("0", 131.0) is None
+    assert index.find(str(MAX_INDEX_ENTRIES), 131.0) == LOCATION
