--- a/packages/operator/src/ebonyhaven_operator/_changes.py
+++ b/packages/operator/src/ebonyhaven_operator/_changes.py
@@ -24,7 +24,7 @@
 from ebonyhaven_store import (
     Condition,
     Conflict,
-    RetryLimit,
+    RetryPolicy,
     RowSet,
     TableClient,
     Transaction,
@@ -34,18 +34,18 @@
     resolve_write,
 )
 
-from ebonyhaven_operator._reading import find_current, read_patiently
+from ebonyhaven_operator._reading import find_current_entry, read_rows_with_retry
 from ebonyhaven_operator.exceptions import (
     EXIT_INVALID,
     EXIT_UNAVAILABLE,
     EXIT_UNCONFIRMED,
     CommandError,
-    report_conflict,
+    make_conflict_error,
 )
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class Change:
+class ConfigurationChange:
     """A change as an operator wants it.
 
     Parameters
@@ -66,7 +66,7 @@
     base_version: int | None
 
 
-class Accepted(NamedTuple):
+class AcceptedChange(NamedTuple):
     """A change that is the configuration of a version.
 
     Parameters
@@ -83,24 +83,28 @@
 
 
 async def apply_change(
-    table: TableClient, change: Change, *, clock: Any, limit: RetryLimit
-) -> Accepted:
+    table: TableClient,
+    change: ConfigurationChange,
+    *,
+    clock: Any,
+    retry_policy: RetryPolicy,
+) -> AcceptedChange:
     """Accept a change or tell truthfully why not.
 
     Parameters
     ----------
     table : TableClient
         The platform's table.
-    change : Change
+    change : ConfigurationChange
         What to accept.
     clock : IReactorTime
         Source of time and delayed calls.
-    limit : RetryLimit
+    retry_policy : RetryPolicy
         How long to try.
 
     Returns
     -------
-    Accepted
+    AcceptedChange
 
     Raises
     ------
@@ -108,29 +112,29 @@
         For a conflict, an outage, or a write that could not be settled.
     """
     change_key = format_change_key(change.change_id)
-    rows = await read_patiently(
-        table, [CURRENT_CONFIGURATION_KEY, change_key], clock, limit
+    rows = await read_rows_with_retry(
+        table, [CURRENT_CONFIGURATION_KEY, change_key], clock, retry_policy
     )
-    current = find_current(rows)
+    current = find_current_entry(rows)
     earlier = rows.find(change_key)
     if earlier.value is not None:
         version = earlier.value["version"]
-        return await _confirm_earlier(table, change, version, clock, limit)
+        return await _confirm_earlier(table, change, version, clock, retry_policy)
     base_version = change.base_version
     if base_version is not None and base_version != current.version:
-        raise report_conflict(base_version, current.entry)
+        raise make_conflict_error(base_version, current.entry)
     if current.entry is not None and _holds(current.entry, change.declaration):
-        return Accepted(current.version, "unchanged")
-    return await _accept(table, change, current, clock, limit)
+        return AcceptedChange(current.version, "unchanged")
+    return await _accept(table, change, current, clock, retry_policy)
 
 
 async def _accept(
     table: TableClient,
-    change: Change,
+    change: ConfigurationChange,
     current: CurrentEntry,
     clock: Any,
-    limit: RetryLimit,
-) -> Accepted:
+    retry_policy: RetryPolicy,
+) -> AcceptedChange:
     acceptance = build_acceptance_transaction(
         current,
         change_id=change.change_id,
@@ -144,17 +148,19 @@
         await resolve_write(
             table,
             _make_transaction(change, acceptance),
-            marker=change_key,
+            marker_key=change_key,
             clock=clock,
-            limit=limit,
+            retry_policy=retry_policy,
         )
     except Conflict as conflict:
         rows = RowSet(conflict.rows, 0)
         earlier = rows.find(change_key).value
         if earlier is not None:
             version = earlier["version"]
-            return await _confirm_earlier(table, change, version, clock, limit)
-        raise report_conflict(current.version, find_current(rows).entry) from conflict
+            return await _confirm_earlier(table, change, version, clock, retry_policy)
+        raise make_conflict_error(
+            current.version, find_current_entry(rows).entry
+        ) from conflict
     except Unavailable as error:
         message = f"not accepted, nothing was written: {error}"
         raise CommandError(
@@ -162,16 +168,20 @@
         ) from error
     except Unconfirmed as error:
         raise _report_doubt(change, error) from error
-    return Accepted(acceptance.entry.version, "accepted")
+    return AcceptedChange(acceptance.entry.version, "accepted")
 
 
 async def _confirm_earlier(
-    table: TableClient, change: Change, version: int, clock: Any, limit: RetryLimit
-) -> Accepted:
+    table: TableClient,
+    change: ConfigurationChange,
+    version: int,
+    clock: Any,
+    retry_policy: RetryPolicy,
+) -> AcceptedChange:
     key = format_history_key(version)
-    rows = await read_patiently(table, [key], clock, limit)
+    rows = await read_rows_with_retry(table, [key], clock, retry_policy)
     if _holds(parse_configuration_entry(rows.find(key).value), change.declaration):
-        return Accepted(version, "accepted_before")
+        return AcceptedChange(version, "accepted_before")
     message = (
         f"not accepted: change {change.change_id} was accepted as version {version} "
         f"with another declaration; use a new change id"
@@ -195,7 +205,9 @@
         raise CommandError("invalid", message, exit_code=EXIT_INVALID)
 
 
-def _make_transaction(change: Change, acceptance: AcceptanceTransaction) -> Transaction:
+def _make_transaction(
+    change: ConfigurationChange, acceptance: AcceptanceTransaction
+) -> Transaction:
     return Transaction(
         change.change_id,
         tuple(Condition(*item) for item in acceptance.conditions),
@@ -203,7 +215,7 @@
     )
 
 
-def _report_doubt(change: Change, error: Unconfirmed) -> CommandError:
+def _report_doubt(change: ConfigurationChange, error: Unconfirmed) -> CommandError:
     message = (
         f"unknown whether the change was accepted ({error}); run the command again "
         f"with --change-id {change.change_id} to settle it"
--- a/packages/operator/src/ebonyhaven_operator/_reading.py
+++ b/packages/operator/src/ebonyhaven_operator/_reading.py
@@ -18,7 +18,7 @@
     InstanceListClient,
     ListedProcess,
     PlatformError,
-    RetryLimit,
+    RetryPolicy,
     RowSet,
     TableClient,
     Unavailable,
@@ -28,13 +28,13 @@
 
 from ebonyhaven_operator.exceptions import EXIT_UNAVAILABLE, CommandError
 
-READ_RETRY_S = 0.2
+READ_RETRY_DELAY_S = 0.2
 HEALTH_TIMEOUT_S = 2.0
 MAX_CONCURRENT_CHECKS = 20
 
 
-async def read_patiently(
-    table: TableClient, keys: Sequence[str], clock: Any, limit: RetryLimit
+async def read_rows_with_retry(
+    table: TableClient, keys: Sequence[str], clock: Any, retry_policy: RetryPolicy
 ) -> RowSet:
     """Read rows, again and again until the deadline.
 
@@ -47,8 +47,8 @@
         try:
             return await table.read_rows(keys)
         except Unavailable as error:
-            wait_s = READ_RETRY_S * limit.rng.uniform(0.5, 1.5)
-            if clock.seconds() + wait_s > limit.deadline:
+            wait_s = READ_RETRY_DELAY_S * retry_policy.rng.uniform(0.5, 1.5)
+            if clock.seconds() + wait_s > retry_policy.deadline:
                 message = f"nothing was changed: {error}"
                 raise CommandError(
                     "unavailable", message, exit_code=EXIT_UNAVAILABLE
@@ -56,7 +56,7 @@
         await task.deferLater(clock, wait_s)
 
 
-def find_current(rows: RowSet) -> CurrentEntry:
+def find_current_entry(rows: RowSet) -> CurrentEntry:
     """Return the current configuration among rows."""
     row = rows.find(CURRENT_CONFIGURATION_KEY)
     entry = None if row.value is None else parse_configuration_entry(row.value)
@@ -64,7 +64,7 @@
 
 
 async def read_history(
-    table: TableClient, length: int, clock: Any, limit: RetryLimit
+    table: TableClient, length: int, clock: Any, retry_policy: RetryPolicy
 ) -> list[ConfigurationEntry]:
     """Return the latest configurations, newest first.
 
@@ -76,16 +76,18 @@
         Most entries to return.
     clock : IReactorTime
         Source of time and delayed calls.
-    limit : RetryLimit
+    retry_policy : RetryPolicy
         How long to try.
     """
-    rows = await read_patiently(table, [CURRENT_CONFIGURATION_KEY], clock, limit)
-    newest = find_current(rows).version
+    rows = await read_rows_with_retry(
+        table, [CURRENT_CONFIGURATION_KEY], clock, retry_policy
+    )
+    newest = find_current_entry(rows).version
     oldest = max(1, newest - length + 1)
     keys = [format_history_key(version) for version in range(oldest, newest + 1)]
     if not keys:
         return []
-    kept = await read_patiently(table, keys, clock, limit)
+    kept = await read_rows_with_retry(table, keys, clock, retry_policy)
     entries = [parse_configuration_entry(row.value) for row in kept.rows]
     return sorted(entries, key=lambda entry: -entry.version)
 
@@ -133,7 +135,7 @@
         return {version: counts[version] / len(versions) for version in sorted(counts)}
 
     @property
-    def is_uniform(self) -> bool:
+    def is_rolled_out(self) -> bool:
         """Whether all answering instances run the version of the table."""
         return set(self.shares) <= {self.version}
 
@@ -151,7 +153,7 @@
     version: int | None = None
     try:
         rows = await table.read_rows([CURRENT_CONFIGURATION_KEY])
-        version = find_current(rows).version
+        version = find_current_entry(rows).version
     except PlatformError:
         pass
     listed = (await instances.read()).instances
--- a/packages/operator/src/ebonyhaven_operator/_explanation.py
+++ b/packages/operator/src/ebonyhaven_operator/_request_timeline.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
 
-BELIEFS = frozenset(
+STATE_EVENTS = frozenset(
     {
         "backend_listed",
         "backend_suspected",
@@ -22,7 +22,7 @@
         "store_regained",
     }
 )
-OMITTED = frozenset({"event", "level", "request", "timestamp"})
+OMITTED_FIELDS = frozenset({"event", "level", "request", "timestamp"})
 
 
 class LogLine(NamedTuple):
@@ -49,12 +49,12 @@
         details = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
-            if name not in OMITTED
+            if name not in OMITTED_FIELDS
         )
         return f"{self.time} {self.source} {self.event} {details}".rstrip()
 
 
-def parse_lines(source: str, lines: Iterable[str]) -> Iterator[LogLine]:
+def parse_log_lines(source: str, lines: Iterable[str]) -> Iterator[LogLine]:
     """Yield the lines of a log that can be understood.
 
     What stands before the JSON object of a line, such as a prefix that a collector
@@ -82,7 +82,7 @@
             yield LogLine(source, time, str(fields["event"]), fields)
 
 
-def explain_request(request_id: str, lines: Iterable[LogLine]) -> list[LogLine]:
+def build_request_timeline(request_id: str, lines: Iterable[LogLine]) -> list[LogLine]:
     """Return what concerns one request, in order of time.
 
     Beside the lines that name the request, these are the changes of what its
@@ -109,7 +109,7 @@
     around = [
         line
         for line in known
-        if line.event in BELIEFS
+        if line.event in STATE_EVENTS
         and line.source in sources
         and first <= line.time <= last
         and _concerns(line, servers)
--- a/packages/operator/src/ebonyhaven_operator/_session.py
+++ b/packages/operator/src/ebonyhaven_operator/_session.py
@@ -11,7 +11,7 @@
     InstanceListClient,
     PlatformError,
     PlatformTransport,
-    RetryLimit,
+    RetryPolicy,
     TableClient,
 )
 from twisted.internet import reactor
@@ -32,7 +32,7 @@
         The platform's table.
     instances : InstanceListClient
         The platform's list.
-    limit : RetryLimit
+    retry_policy : RetryPolicy
         How long to try.
     reactor : IReactorTime
         Source of time and delayed calls.
@@ -40,7 +40,7 @@
 
     table: TableClient
     instances: InstanceListClient
-    limit: RetryLimit
+    retry_policy: RetryPolicy
     reactor: Any
 
 
@@ -92,7 +92,7 @@
     session = Session(
         table=TableClient(transport),
         instances=InstanceListClient(transport),
-        limit=RetryLimit(reactor.seconds() + timeout_s, random.Random()),
+        retry_policy=RetryPolicy(reactor.seconds() + timeout_s, random.Random()),
         reactor=reactor,
     )
     try:
--- a/packages/operator/src/ebonyhaven_operator/commands.py
+++ b/packages/operator/src/ebonyhaven_operator/commands.py
@@ -27,19 +27,23 @@
     parse_declaration,
 )
 
-from ebonyhaven_operator._changes import Accepted, Change, apply_change
-from ebonyhaven_operator._explanation import (
-    LogLine,
-    explain_request,
-    parse_lines,
+from ebonyhaven_operator._changes import (
+    AcceptedChange,
+    ConfigurationChange,
+    apply_change,
 )
 from ebonyhaven_operator._reading import (
     StatusReport,
-    find_current,
+    find_current_entry,
     read_history,
-    read_patiently,
+    read_rows_with_retry,
     read_status,
 )
+from ebonyhaven_operator._request_timeline import (
+    LogLine,
+    build_request_timeline,
+    parse_log_lines,
+)
 from ebonyhaven_operator._session import Session, run_session
 from ebonyhaven_operator.exceptions import (
     EXIT_DIFFERENT,
@@ -93,13 +97,16 @@
 ) -> None:
     """Make a declaration the configuration of all instances."""
 
-    async def run(session: Session) -> Accepted:
+    async def run(session: Session) -> AcceptedChange:
         return await apply_change(
-            session.table, change, clock=session.reactor, limit=session.limit
+            session.table,
+            change,
+            clock=session.reactor,
+            retry_policy=session.retry_policy,
         )
 
     with _reporting(as_json):
-        change = Change(
+        change = ConfigurationChange(
             declaration=_read_declaration(file),
             change_id=change_id or uuid.uuid4().hex,
             author=author or getpass.getuser(),
@@ -164,7 +171,9 @@
     """Show the latest accepted versions, newest first."""
 
     async def run(session: Session) -> list:
-        return await read_history(session.table, length, session.reactor, session.limit)
+        return await read_history(
+            session.table, length, session.reactor, session.retry_policy
+        )
 
     with _reporting(as_json):
         entries = run_session(platform, timeout, run)
@@ -201,7 +210,7 @@
             shares={str(version): share for version, share in report.shares.items()},
             instances=[item._asdict() for item in report.instances],
         )
-        if not report.is_uniform:
+        if not report.is_rolled_out:
             raise typer.Exit(EXIT_DIFFERENT)
 
 
@@ -215,11 +224,11 @@
     for path in logs:
         try:
             with path.open(errors="replace") as file:
-                lines += parse_lines(path.stem, file)
+                lines += parse_log_lines(path.stem, file)
         except OSError as error:
             print(f"{path}: {error.strerror}", file=sys.stderr)
             raise typer.Exit(EXIT_INVALID) from error
-    story = explain_request(request_id, lines)
+    story = build_request_timeline(request_id, lines)
     if not story:
         print(f"no line names the request {request_id}", file=sys.stderr)
         raise typer.Exit(EXIT_DIFFERENT)
@@ -239,10 +248,13 @@
 
 
 async def _read_current(session: Session) -> Any:
-    rows = await read_patiently(
-        session.table, [CURRENT_CONFIGURATION_KEY], session.reactor, session.limit
+    rows = await read_rows_with_retry(
+        session.table,
+        [CURRENT_CONFIGURATION_KEY],
+        session.reactor,
+        session.retry_policy,
     )
-    return find_current(rows)
+    return find_current_entry(rows)
 
 
 def _read_declaration(path: pathlib.Path) -> Declaration:
--- a/packages/operator/src/ebonyhaven_operator/exceptions.py
+++ b/packages/operator/src/ebonyhaven_operator/exceptions.py
@@ -6,7 +6,7 @@
 
 from ebonyhaven_decisions import ConfigurationEntry
 
-EXIT_DONE = 0
+EXIT_SUCCESS = 0
 EXIT_DIFFERENT = 1
 EXIT_INVALID = 2
 EXIT_CONFLICT = 3
@@ -36,7 +36,7 @@
         self.details = details
 
 
-def report_conflict(
+def make_conflict_error(
     base_version: int, winner: ConfigurationEntry | None
 ) -> CommandError:
     """Return the error for a change that lost against another one.
--- a/packages/store/src/ebonyhaven_store/__init__.py
+++ b/packages/store/src/ebonyhaven_store/__init__.py
@@ -9,7 +9,7 @@
     ListedProcess,
 )
 from ebonyhaven_store._objects import ObjectClient, WeightClient
-from ebonyhaven_store._resolution import RetryLimit, WriteResult, resolve_write
+from ebonyhaven_store._resolution import RetryPolicy, WriteResult, resolve_write
 from ebonyhaven_store._rows import Condition, Row, RowSet, Transaction, Write
 from ebonyhaven_store._table import TableClient
 from ebonyhaven_store._transport import PlatformTransport
@@ -32,7 +32,7 @@
     "PlatformError",
     "PlatformTransport",
     "Rejected",
-    "RetryLimit",
+    "RetryPolicy",
     "Row",
     "RowSet",
     "TableClient",
--- a/packages/store/src/ebonyhaven_store/_agents.py
+++ b/packages/store/src/ebonyhaven_store/_agents.py
@@ -12,7 +12,7 @@
 
 
 @implementer(IAgentEndpointFactory)
-class DirectEndpointFactory:
+class IPv4EndpointFactory:
     """Makes endpoints for URIs whose host is an IP address.
 
     The agent's usual endpoint resolves names in a thread and reports a refused
@@ -70,5 +70,5 @@
     -------
     Agent
     """
-    factory = DirectEndpointFactory(reactor, connect_timeout_s)
+    factory = IPv4EndpointFactory(reactor, connect_timeout_s)
     return Agent.usingEndpointFactory(reactor, factory, pool=pool)
--- a/packages/store/src/ebonyhaven_store/_resolution.py
+++ b/packages/store/src/ebonyhaven_store/_resolution.py
@@ -18,12 +18,12 @@
 from ebonyhaven_store._table import TableClient
 from ebonyhaven_store.exceptions import Conflict, Throttled, Unavailable, Unconfirmed
 
-FIRST_DELAY_S = 0.05
-LONGEST_DELAY_S = 2.0
-DELAY_GROWTH = 2.0
+INITIAL_RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 2.0
+RETRY_DELAY_FACTOR = 2.0
 
 
-class RetryLimit(NamedTuple):
+class RetryPolicy(NamedTuple):
     """How long a write is tried.
 
     Parameters
@@ -57,9 +57,9 @@
     table: TableClient,
     transaction: Transaction,
     *,
-    marker: str,
+    marker_key: str,
     clock: Any,
-    limit: RetryLimit,
+    retry_policy: RetryPolicy,
 ) -> Deferred[WriteResult]:
     """Apply a transaction and find out whether it took effect.
 
@@ -68,14 +68,14 @@
     table : TableClient
         The table to write to.
     transaction : Transaction
-        It must hold a condition on ``marker`` and a write to it whose value no
+        It must hold a condition on ``marker_key`` and a write to it whose value no
         other writer uses.
-    marker : str
+    marker_key : str
         Key of the row that proves the write, and that nobody overwrites while
         the write is being resolved.
     clock : IReactorTime
         Source of time and delayed calls.
-    limit : RetryLimit
+    retry_policy : RetryPolicy
         When to give up.
 
     Returns
@@ -91,7 +91,7 @@
     Unconfirmed
         The deadline passed before the matter could be settled.
     """
-    resolution = _Resolution(table, transaction, marker, clock, limit)
+    resolution = _Resolution(table, transaction, marker_key, clock, retry_policy)
     return Deferred.fromCoroutine(resolution.run())
 
 
@@ -102,20 +102,20 @@
         self,
         table: TableClient,
         transaction: Transaction,
-        marker: str,
+        marker_key: str,
         clock: Any,
-        limit: RetryLimit,
+        retry_policy: RetryPolicy,
     ):
         self._table = table
         self._transaction = transaction
-        self._marker = marker
+        self._marker = marker_key
         self._clock = clock
-        self._limit = limit
-        self._value = {item.key: item.value for item in transaction.writes}[marker]
+        self._limit = retry_policy
+        self._value = {item.key: item.value for item in transaction.writes}[marker_key]
         self._doubt: Unconfirmed | None = None
 
     async def run(self) -> WriteResult:
-        delay_s = FIRST_DELAY_S
+        delay_s = INITIAL_RETRY_DELAY_S
         while True:
             wait_s = delay_s
             try:
@@ -134,7 +134,7 @@
             if self._clock.seconds() + wait_s > self._limit.deadline:
                 raise self._doubt or failure
             await task.deferLater(self._clock, wait_s)
-            delay_s = min(LONGEST_DELAY_S, delay_s * DELAY_GROWTH)
+            delay_s = min(MAX_RETRY_DELAY_S, delay_s * RETRY_DELAY_FACTOR)
 
     def _settle(self, conflict: Conflict) -> WriteResult:
         for row in conflict.rows:
--- a/packages/store/src/ebonyhaven_store/_transport.py
+++ b/packages/store/src/ebonyhaven_store/_transport.py
@@ -28,7 +28,7 @@
 DEFAULT_TIMEOUT_S = 2.0
 DEFAULT_RETRY_AFTER_S = 0.5
 MAX_CONNECTIONS = 8
-PROOF_OF_NOT_SENT = (
+NOT_SENT_ERRORS = (
     ConnectError,
     ConnectingCancelledError,
     ConnectionRefusedError,
@@ -36,7 +36,7 @@
 )
 
 
-class Answer(NamedTuple):
+class PlatformResponse(NamedTuple):
     """Status and body of an answer."""
 
     status: int
@@ -83,7 +83,7 @@
         query: Sequence[tuple[str, str]] = (),
         body: bytes | None = None,
         accepted: frozenset[int] = frozenset({200}),
-    ) -> Deferred[Answer]:
+    ) -> Deferred[PlatformResponse]:
         """Send one request and return its answer.
 
         Parameters
@@ -101,7 +101,7 @@
 
         Returns
         -------
-        Deferred of Answer
+        Deferred of PlatformResponse
 
         Raises
         ------
@@ -132,12 +132,12 @@
         step: str,
         body: bytes | None,
         accepted: frozenset[int],
-    ) -> Answer:
+    ) -> PlatformResponse:
         try:
             response = await treq.request(
                 method, url, data=body, agent=self._agent, reactor=self._reactor
             )
-            answer = Answer(response.code, await treq.content(response))
+            answer = PlatformResponse(response.code, await treq.content(response))
         except Exception as error:
             raise self._map_failure(method, step, error) from error
         if answer.status in accepted:
@@ -146,7 +146,7 @@
 
     def _map_failure(self, method: str, step: str, error: Exception) -> PlatformError:
         reason = f"{type(error).__name__} {error}".strip()
-        not_done = method == "GET" or isinstance(error, PROOF_OF_NOT_SENT)
+        not_done = method == "GET" or isinstance(error, NOT_SENT_ERRORS)
         kind = Unavailable if not_done else Unconfirmed
         return kind(step=step, peer=self.address, reason=reason)
 
--- a/tests/operator_tool/test_explanation.py
+++ b/tests/operator_tool/test_request_timeline.py
@@ -2,7 +2,10 @@
 
 import json
 
-from ebonyhaven_operator._explanation import explain_request, parse_lines
+from ebonyhaven_operator._request_timeline import (
+    build_request_timeline,
+    parse_log_lines,
+)
 
 
 def line(second, event, **fields):
@@ -11,7 +14,7 @@
 
 
 def parse(*lines, source="n1"):
-    return list(parse_lines(source, lines))
+    return list(parse_log_lines(source, lines))
 
 
 def test_lines_of_other_programs_and_prefixes_are_passed_over():
@@ -37,7 +40,7 @@
         line(7, "store_regained", table="servers"),
     )
     lines += parse(line(4, "store_lost", table="op"), source="n2")
-    story = explain_request("r1", reversed(lines))
+    story = build_request_timeline("r1", reversed(lines))
     assert [each.event for each in story] == [
         "stream_sent",
         "backend_unlisted",
@@ -48,4 +51,4 @@
 
 
 def test_unknown_request_has_no_story():
-    assert explain_request("r9", parse(line(1, "store_lost"))) == []
+    assert build_request_timeline("r9", parse(line(1, "store_lost"))) == []
--- a/tests/store_client/test_clients.py
+++ b/tests/store_client/test_clients.py
@@ -12,7 +12,7 @@
     ObjectClient,
     PlatformError,
     PlatformTransport,
-    RetryLimit,
+    RetryPolicy,
     TableClient,
     Throttled,
     Transaction,
@@ -52,8 +52,8 @@
         await transport.close()
 
 
-def give_limit(seconds: float = 30.0) -> RetryLimit:
-    return RetryLimit(reactor.seconds() + seconds, random.Random(1))
+def give_limit(seconds: float = 30.0) -> RetryPolicy:
+    return RetryPolicy(reactor.seconds() + seconds, random.Random(1))
 
 
 def test_transaction_applies_all_writes_or_none():
@@ -188,9 +188,9 @@
             result = await resolve_write(
                 table,
                 change_row("mine", 0),
-                marker="a",
+                marker_key="a",
                 clock=reactor,
-                limit=give_limit(),
+                retry_policy=give_limit(),
             )
             assert result == WriteResult(1, confirmed_by_read=True)
 
@@ -208,9 +208,9 @@
                 resolve_write(
                     table,
                     change_row("mine", 0),
-                    marker="a",
+                    marker_key="a",
                     clock=reactor,
-                    limit=give_limit(),
+                    retry_policy=give_limit(),
                 )
             )
             assert isinstance(error, Conflict)
@@ -225,9 +225,9 @@
         return await resolve_write(
             table,
             change_row("mine", 0),
-            marker="a",
+            marker_key="a",
             clock=reactor,
-            limit=give_limit(seconds),
+            retry_policy=give_limit(seconds),
         )
 
     async def check(address: str):
