--- a/packages/operator/src/ebonyhaven_operator/__init__.py
+++ b/packages/operator/src/ebonyhaven_operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command line tool for operators."""
--- a/packages/operator/src/ebonyhaven_operator/_changes.py
+++ b/packages/operator/src/ebonyhaven_operator/_changes.py
@@ -1,4 +1,4 @@
-"""Acceptance of a declaration."""
+"""Acceptance of configuration changes."""
 
 from __future__ import annotations
 
@@ -46,18 +46,19 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ConfigurationChange:
-    """A change as an operator wants it.
+    """Change of the configuration requested by an operator.
 
     Parameters
     ----------
     declaration : Declaration
-        Checked declaration.
+        Validated declaration of the new configuration.
     change_id : str
-        Name of the change; applying it again is safe.
+        Identifier that makes applying the change idempotent.
     author : str
-        Who makes it.
+        Name of the operator.
     base_version : int or None
-        Version that the change was made against; None for the current one.
+        Version that must be current for the change to be accepted; None accepts
+        any.
     """
 
     declaration: Declaration
@@ -67,15 +68,15 @@
 
 
 class AcceptedChange(NamedTuple):
-    """A change that is the configuration of a version.
+    """Result of a change whose declaration is stored as a configuration version.
 
     Parameters
     ----------
     version : int
-        Version that holds the change.
+        Version with the declaration of the change.
     outcome : str
-        ``"accepted"``; ``"accepted_before"`` if an earlier run of the same
-        change was; ``"unchanged"`` if the declaration was current already.
+        ``"accepted"``, ``"accepted_before"`` if the change id was accepted earlier,
+        or ``"unchanged"`` if the declaration was current already.
     """
 
     version: int
@@ -89,18 +90,18 @@
     clock: Any,
     retry_policy: RetryPolicy,
 ) -> AcceptedChange:
-    """Accept a change or tell truthfully why not.
+    """Accept a change as the next configuration version.
 
     Parameters
     ----------
     table : TableClient
         The platform's table.
     change : ConfigurationChange
-        What to accept.
+        Change to accept.
     clock : IReactorTime
         Source of time and delayed calls.
     retry_policy : RetryPolicy
-        How long to try.
+        Deadline and jitter of the retries.
 
     Returns
     -------
@@ -109,26 +110,32 @@
     Raises
     ------
     CommandError
-        For a conflict, an outage, or a write that could not be settled.
+        If the change conflicts with another one, its id is in use for another
+        declaration, its declaration is too large, the platform is unavailable, or
+        the outcome of the write is unknown.
     """
     change_key = format_change_key(change.change_id)
     rows = await read_rows_with_retry(
         table, [CURRENT_CONFIGURATION_KEY, change_key], clock, retry_policy
     )
     current = find_current_entry(rows)
-    earlier = rows.find(change_key)
-    if earlier.value is not None:
-        version = earlier.value["version"]
-        return await _confirm_earlier(table, change, version, clock, retry_policy)
+    change_row = rows.find(change_key)
+    if change_row.value is not None:
+        version = change_row.value["version"]
+        return await _check_accepted_version(
+            table, change, version, clock, retry_policy
+        )
     base_version = change.base_version
     if base_version is not None and base_version != current.version:
         raise make_conflict_error(base_version, current.entry)
-    if current.entry is not None and _holds(current.entry, change.declaration):
+    if current.entry is not None and _has_declaration(
+        current.entry, change.declaration
+    ):
         return AcceptedChange(current.version, "unchanged")
-    return await _accept(table, change, current, clock, retry_policy)
+    return await _write_change(table, change, current, clock, retry_policy)
 
 
-async def _accept(
+async def _write_change(
     table: TableClient,
     change: ConfigurationChange,
     current: CurrentEntry,
@@ -154,10 +161,12 @@
         )
     except Conflict as conflict:
         rows = RowSet(conflict.rows, 0)
-        earlier = rows.find(change_key).value
-        if earlier is not None:
-            version = earlier["version"]
-            return await _confirm_earlier(table, change, version, clock, retry_policy)
+        change_value = rows.find(change_key).value
+        if change_value is not None:
+            version = change_value["version"]
+            return await _check_accepted_version(
+                table, change, version, clock, retry_policy
+            )
         raise make_conflict_error(
             current.version, find_current_entry(rows).entry
         ) from conflict
@@ -167,11 +176,11 @@
             "unavailable", message, exit_code=EXIT_UNAVAILABLE
         ) from error
     except Unconfirmed as error:
-        raise _report_doubt(change, error) from error
+        raise _make_unconfirmed_error(change, error) from error
     return AcceptedChange(acceptance.entry.version, "accepted")
 
 
-async def _confirm_earlier(
+async def _check_accepted_version(
     table: TableClient,
     change: ConfigurationChange,
     version: int,
@@ -180,18 +189,20 @@
 ) -> AcceptedChange:
     key = format_history_key(version)
     rows = await read_rows_with_retry(table, [key], clock, retry_policy)
-    if _holds(parse_configuration_entry(rows.find(key).value), change.declaration):
+    if _has_declaration(
+        parse_configuration_entry(rows.find(key).value), change.declaration
+    ):
         return AcceptedChange(version, "accepted_before")
     message = (
-        f"not accepted: change {change.change_id} was accepted as version {version} "
-        f"with another declaration; use a new change id"
+        f"not accepted: change id {change.change_id} was used for version {version} "
+        f"with a different declaration; use a new change id"
     )
     raise CommandError(
         "change_id_used", message, exit_code=EXIT_INVALID, version=version
     )
 
 
-def _holds(entry: ConfigurationEntry, declaration: Declaration) -> bool:
+def _has_declaration(entry: ConfigurationEntry, declaration: Declaration) -> bool:
     try:
         return parse_declaration(entry.declaration) == declaration
     except DeclarationError:
@@ -199,9 +210,9 @@
 
 
 def _check_size(entry: ConfigurationEntry) -> None:
-    size = len(json.dumps(entry.serialize()))
-    if size > MAX_ENTRY_BYTES:
-        message = f"declaration: {size} bytes, expected at most {MAX_ENTRY_BYTES}"
+    size_bytes = len(json.dumps(entry.serialize()))
+    if size_bytes > MAX_ENTRY_BYTES:
+        message = f"declaration: {size_bytes} bytes, expected at most {MAX_ENTRY_BYTES}"
         raise CommandError("invalid", message, exit_code=EXIT_INVALID)
 
 
@@ -215,10 +226,12 @@
     )
 
 
-def _report_doubt(change: ConfigurationChange, error: Unconfirmed) -> CommandError:
+def _make_unconfirmed_error(
+    change: ConfigurationChange, error: Unconfirmed
+) -> CommandError:
     message = (
-        f"unknown whether the change was accepted ({error}); run the command again "
-        f"with --change-id {change.change_id} to settle it"
+        f"unknown whether the change was accepted ({error}); to find out, repeat the "
+        f"command with --change-id {change.change_id}"
     )
     return CommandError(
         "unconfirmed",
--- a/packages/operator/src/ebonyhaven_operator/_reading.py
+++ b/packages/operator/src/ebonyhaven_operator/_reading.py
@@ -1,4 +1,4 @@
-"""Reads of the configuration, its history and what instances run."""
+"""Reads of the configuration, its history and the status of instances."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 async def read_rows_with_retry(
     table: TableClient, keys: Sequence[str], clock: Any, retry_policy: RetryPolicy
 ) -> RowSet:
-    """Read rows, again and again until the deadline.
+    """Read rows by key, retrying until the deadline while the platform is unavailable.
 
     Raises
     ------
     CommandError
-        If the table could not be read before the deadline.
+        If the table was unavailable until the deadline.
     """
     while True:
         try:
@@ -57,7 +57,7 @@
 
 
 def find_current_entry(rows: RowSet) -> CurrentEntry:
-    """Return the current configuration among rows."""
+    """Return the current configuration from rows that include its row."""
     row = rows.find(CURRENT_CONFIGURATION_KEY)
     entry = None if row.value is None else parse_configuration_entry(row.value)
     return CurrentEntry(entry, row.version)
@@ -66,18 +66,18 @@
 async def read_history(
     table: TableClient, length: int, clock: Any, retry_policy: RetryPolicy
 ) -> list[ConfigurationEntry]:
-    """Return the latest configurations, newest first.
+    """Return the latest accepted configurations, newest first.
 
     Parameters
     ----------
     table : TableClient
         The platform's table.
     length : int
-        Most entries to return.
+        Maximum number of entries.
     clock : IReactorTime
         Source of time and delayed calls.
     retry_policy : RetryPolicy
-        How long to try.
+        Deadline and jitter of the retries.
     """
     rows = await read_rows_with_retry(
         table, [CURRENT_CONFIGURATION_KEY], clock, retry_policy
@@ -87,22 +87,23 @@
     keys = [format_history_key(version) for version in range(oldest, newest + 1)]
     if not keys:
         return []
-    kept = await read_rows_with_retry(table, keys, clock, retry_policy)
-    entries = [parse_configuration_entry(row.value) for row in kept.rows]
+    history = await read_rows_with_retry(table, keys, clock, retry_policy)
+    entries = [parse_configuration_entry(row.value) for row in history.rows]
     return sorted(entries, key=lambda entry: -entry.version)
 
 
 class InstanceStatus(NamedTuple):
-    """What one instance says about itself.
+    """Status of one instance as reported by its health endpoint.
 
     Parameters
     ----------
     instance : str
         Name of the instance.
     address : str
-        Its address for callers.
+        ``IP:PORT`` at which the instance serves callers.
     version : int or None
-        Version of the configuration that it runs; None if it did not answer.
+        Version of the configuration that the instance runs; None if it is
+        unreachable.
     status : str
         ``"live"``, ``"leaving"`` or ``"unreachable"``.
     """
@@ -114,36 +115,36 @@
 
 
 class StatusReport(NamedTuple):
-    """Which instances run which version.
+    """Configuration versions of the table and of all listed instances.
 
     Parameters
     ----------
     version : int or None
-        Version in the table; None if the table cannot be read.
+        Current version in the table; None if the table could not be read.
     instances : tuple of InstanceStatus
-        All listed instances.
+        Status of all listed instances.
     """
 
     version: int | None
     instances: tuple[InstanceStatus, ...]
 
     @property
-    def shares(self) -> dict[int, float]:
-        """Share of the answering instances that run each version."""
+    def version_shares(self) -> dict[int, float]:
+        """Share of the reachable instances that run each version, from 0 to 1."""
         versions = [item.version for item in self.instances if item.version is not None]
         counts = Counter(versions)
         return {version: counts[version] / len(versions) for version in sorted(counts)}
 
     @property
     def is_rolled_out(self) -> bool:
-        """Whether all answering instances run the version of the table."""
-        return set(self.shares) <= {self.version}
+        """Whether all reachable instances run the current version of the table."""
+        return set(self.version_shares) <= {self.version}
 
 
 async def read_status(
     table: TableClient, instances: InstanceListClient, reactor: Any
 ) -> StatusReport:
-    """Ask all listed instances which version they run.
+    """Query all listed instances for the configuration version that they run.
 
     Raises
     ------
@@ -157,8 +158,8 @@
     except PlatformError:
         pass
     listed = (await instances.read()).instances
-    slots = DeferredSemaphore(MAX_CONCURRENT_CHECKS)
-    checks = [slots.run(_start_check, item, reactor) for item in listed]
+    semaphore = DeferredSemaphore(MAX_CONCURRENT_CHECKS)
+    checks = [semaphore.run(_start_check, item, reactor) for item in listed]
     return StatusReport(version, tuple(await gatherResults(checks)))
 
 
@@ -176,6 +177,6 @@
         )
         health = await treq.json_content(response)
         version, status = health["configuration_version"], health["status"]
-    except Exception:  # whatever it is, the instance is reported as unreachable
+    except Exception:  # any failure means that the instance is unreachable
         return InstanceStatus(listed.name, listed.address, None, "unreachable")
     return InstanceStatus(listed.name, listed.address, version, status)
--- a/packages/operator/src/ebonyhaven_operator/_request_timeline.py
+++ b/packages/operator/src/ebonyhaven_operator/_request_timeline.py
@@ -1,4 +1,4 @@
-"""The story of one request from the log lines of all instances."""
+"""Timeline of one request from the logs of all instances."""
 
 from __future__ import annotations
 
@@ -26,17 +26,18 @@
 
 
 class LogLine(NamedTuple):
-    """One line of a log.
+    """Structured line of an instance's log.
 
     Parameters
     ----------
     source : str
-        File that it came from.
+        Name of the log file without its suffix.
     time : str
-        ISO 8601.
+        Timestamp in ISO 8601.
     event : str
+        Name of the logged event.
     fields : dict
-        All of the line.
+        All fields of the line, including the event and the timestamp.
     """
 
     source: str
@@ -45,7 +46,7 @@
     fields: dict[str, Any]
 
     def describe(self) -> str:
-        """Return the line for a reader."""
+        """Format the line as text for operators."""
         details = " ".join(
             f"{name}={value}"
             for name, value in self.fields.items()
@@ -55,15 +56,17 @@
 
 
 def parse_log_lines(source: str, lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the lines of a log that can be understood.
+    """Parse the structured lines of a log.
 
-    What stands before the JSON object of a line, such as a prefix that a collector
-    adds, is passed over; so are lines of other programs.
+    Text before the JSON object of a line, such as the prefix of a log collector, is
+    ignored. Lines without a JSON object that names an event are skipped.
 
     Parameters
     ----------
     source : str
+        Name of the log file without its suffix.
     lines : iterable of str
+        Lines of the log file.
 
     Yields
     ------
@@ -83,40 +86,46 @@
 
 
 def build_request_timeline(request_id: str, lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return what concerns one request, in order of time.
+    """Return the log lines that are relevant to one request, ordered by time.
 
-    Beside the lines that name the request, these are the changes of what its
-    instances believed about its servers, the store and the configuration while it
-    was under way.
+    These are the lines with the id of the request and, between the first and the
+    last of them, the state changes that its instances logged about its backend
+    servers, other instances, the store, the configuration and the settings.
 
     Parameters
     ----------
     request_id : str
     lines : iterable of LogLine
+        Log lines of all instances in any order.
 
     Returns
     -------
     list of LogLine
-        Empty if no line names the request.
+        Empty if no line has the id of the request.
     """
-    known = list(lines)
-    own = [line for line in known if line.fields.get("request") == request_id]
-    if not own:
+    all_lines = list(lines)
+    request_lines = [
+        line for line in all_lines if line.fields.get("request") == request_id
+    ]
+    if not request_lines:
         return []
-    first, last = min(line.time for line in own), max(line.time for line in own)
-    sources = {line.source for line in own}
-    servers = {line.fields.get("server") for line in own} - {None}
-    around = [
+    first, last = (
+        min(line.time for line in request_lines),
+        max(line.time for line in request_lines),
+    )
+    sources = {line.source for line in request_lines}
+    servers = {line.fields.get("server") for line in request_lines} - {None}
+    state_lines = [
         line
-        for line in known
+        for line in all_lines
         if line.event in STATE_EVENTS
         and line.source in sources
         and first <= line.time <= last
-        and _concerns(line, servers)
+        and _is_relevant_to_servers(line, servers)
     ]
-    return sorted([*own, *around], key=lambda line: line.time)
+    return sorted([*request_lines, *state_lines], key=lambda line: line.time)
 
 
-def _concerns(line: LogLine, servers: set[str]) -> bool:
-    named = line.fields.get("server")
-    return named is None or named in servers
+def _is_relevant_to_servers(line: LogLine, servers: set[str]) -> bool:
+    server = line.fields.get("server")
+    return server is None or server in servers
--- a/packages/operator/src/ebonyhaven_operator/_session.py
+++ b/packages/operator/src/ebonyhaven_operator/_session.py
@@ -1,4 +1,4 @@
-"""One run of a command against the platform."""
+"""Execution of a command that uses the platform."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class Session:
-    """Clients of one run.
+    """Clients and retry policy of one command execution.
 
     Parameters
     ----------
     table : TableClient
         The platform's table.
     instances : InstanceListClient
-        The platform's list.
+        Client of the platform's list of instances.
     retry_policy : RetryPolicy
-        How long to try.
+        Deadline and jitter of the retries.
     reactor : IReactorTime
         Source of time and delayed calls.
     """
@@ -47,21 +47,21 @@
 def run_session(
     address: str, timeout_s: float, function: Callable[[Session], Awaitable[Any]]
 ) -> Any:
-    """Run a coroutine function with clients of the platform.
+    """Run the reactor until a coroutine function has finished.
 
     Parameters
     ----------
     address : str
         ``IP:PORT`` of the platform.
     timeout_s : float
-        Seconds after which no new attempt starts.
+        Seconds after which no attempt starts.
     function : callable
-        Coroutine function that takes the session.
+        Coroutine function to call with the session.
 
     Returns
     -------
     object
-        What the function returned.
+        Result of the function.
 
     Raises
     ------
@@ -73,7 +73,7 @@
     async def run() -> None:
         try:
             results.append((await _run(address, timeout_s, function), None))
-        except Exception as error:  # raised again outside the reactor
+        except Exception as error:  # re-raised after the reactor has stopped
             results.append((None, error))
         reactor.stop()
 
--- a/packages/operator/src/ebonyhaven_operator/commands.py
+++ b/packages/operator/src/ebonyhaven_operator/commands.py
@@ -1,9 +1,10 @@
 """Command line ``ebonyhavenctl``.
 
-Exit codes: 0 done; 1 ``diff`` found differences, ``status`` an instance that runs
-another version, or ``explain`` no line; 2 invalid declaration or command line;
-3 conflict, another change won; 4 the platform is unavailable and nothing was changed;
-5 unconfirmed, repeat with the printed change id.
+Exit codes: 0 success; 1 ``diff`` found differences, ``status`` found an instance that
+runs another version, or ``explain`` found no line of the request; 2 invalid
+declaration or command line; 3 conflict with another change; 4 the platform is
+unavailable and nothing was changed; 5 unconfirmed, repeat the command with the printed
+change id.
 """
 
 from __future__ import annotations
@@ -61,13 +62,13 @@
     pretty_exceptions_enable=False,
     help="Operate ebonyhaven.",
     epilog=(
-        "Exit codes: 0 done; 1 differences (diff, status); 2 invalid; 3 conflict; "
-        "4 platform unavailable, nothing changed; 5 unconfirmed, repeat with the "
-        "printed change id."
+        "Exit codes: 0 success; 1 differences (diff, status) or no log line "
+        "(explain); 2 invalid; 3 conflict; 4 platform unavailable, nothing changed; "
+        "5 unconfirmed, repeat with the printed change id."
     ),
 )
 
-FileArgument = Annotated[pathlib.Path, typer.Argument(help="Declaration as JSON.")]
+FileArgument = Annotated[pathlib.Path, typer.Argument(help="Declaration file in JSON.")]
 PlatformOption = Annotated[
     str,
     typer.Option(
@@ -76,7 +77,8 @@
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
 TimeoutOption = Annotated[
-    float, typer.Option("--timeout", help="Seconds to keep trying.")
+    float,
+    typer.Option("--timeout", help="Seconds during which failed requests are retried."),
 ]
 
 
@@ -87,15 +89,15 @@
     platform: PlatformOption,
     as_json: JsonOption = False,
     base: Annotated[
-        int | None, typer.Option(help="Version that the file was diffed against.")
+        int | None, typer.Option(help="Version that the change is based on.")
     ] = None,
     change_id: Annotated[
-        str, typer.Option(help="Name of the change; repeating it is safe.")
+        str, typer.Option(help="Identifier that makes repeating the change safe.")
     ] = "",
-    author: Annotated[str, typer.Option(help="Who makes the change.")] = "",
+    author: Annotated[str, typer.Option(help="Author of the change.")] = "",
     timeout: TimeoutOption = DEFAULT_TIMEOUT_S,
 ) -> None:
-    """Make a declaration the configuration of all instances."""
+    """Apply a declaration as the configuration of all instances."""
 
     async def run(session: Session) -> AcceptedChange:
         return await apply_change(
@@ -105,7 +107,7 @@
             retry_policy=session.retry_policy,
         )
 
-    with _reporting(as_json):
+    with _handling_errors(as_json):
         change = ConfigurationChange(
             declaration=_read_declaration(file),
             change_id=change_id or uuid.uuid4().hex,
@@ -125,14 +127,14 @@
     as_json: JsonOption = False,
     timeout: TimeoutOption = DEFAULT_TIMEOUT_S,
 ) -> None:
-    """Show what applying a declaration would change; exit code 1 if anything."""
-    with _reporting(as_json):
-        wanted = _read_declaration(file)
+    """Show what applying a declaration would change; exit code 1 on differences."""
+    with _handling_errors(as_json):
+        proposed = _read_declaration(file)
         current = run_session(platform, timeout, _read_current)
         before = EMPTY_DECLARATION
         if current.entry is not None:
             before = parse_declaration(current.entry.declaration)
-        changes = diff(before, wanted)
+        changes = diff(before, proposed)
         lines = [f"against version {current.version}", *map(str, changes)]
         _print_result(
             as_json,
@@ -151,7 +153,7 @@
     timeout: TimeoutOption = DEFAULT_TIMEOUT_S,
 ) -> None:
     """Show the current configuration."""
-    with _reporting(as_json):
+    with _handling_errors(as_json):
         current = run_session(platform, timeout, _read_current)
         entry = {"version": 0}
         if current.entry is not None:
@@ -164,7 +166,7 @@
     platform: PlatformOption,
     as_json: JsonOption = False,
     length: Annotated[
-        int, typer.Option(help="Most versions to show.", min=1)
+        int, typer.Option(help="Maximum number of versions to show.", min=1)
     ] = DEFAULT_HISTORY_LENGTH,
     timeout: TimeoutOption = DEFAULT_TIMEOUT_S,
 ) -> None:
@@ -175,7 +177,7 @@
             session.table, length, session.reactor, session.retry_policy
         )
 
-    with _reporting(as_json):
+    with _handling_errors(as_json):
         entries = run_session(platform, timeout, run)
         lines = [
             f"{entry.version}  {entry.accepted_at:.0f}  {entry.author}  "
@@ -196,18 +198,20 @@
 
 @app.command()
 def status(platform: PlatformOption, as_json: JsonOption = False) -> None:
-    """Show which instances run which version; exit code 1 if they differ."""
+    """Show the version of each instance; exit code 1 if one is not current."""
 
     async def run(session: Session) -> StatusReport:
         return await read_status(session.table, session.instances, session.reactor)
 
-    with _reporting(as_json):
+    with _handling_errors(as_json):
         report = run_session(platform, DEFAULT_TIMEOUT_S, run)
         _print_result(
             as_json,
             _describe_status(report),
             version=report.version,
-            shares={str(version): share for version, share in report.shares.items()},
+            shares={
+                str(version): share for version, share in report.version_shares.items()
+            },
             instances=[item._asdict() for item in report.instances],
         )
         if not report.is_rolled_out:
@@ -217,9 +221,9 @@
 @app.command()
 def explain(
     request_id: Annotated[str, typer.Argument(help="Id of the request.")],
-    logs: Annotated[list[pathlib.Path], typer.Argument(help="Logs of instances.")],
+    logs: Annotated[list[pathlib.Path], typer.Argument(help="Log files of instances.")],
 ) -> None:
-    """Print what the logs tell of one request, in order of time."""
+    """Print the log lines relevant to one request in time order."""
     lines: list[LogLine] = []
     for path in logs:
         try:
@@ -228,19 +232,19 @@
         except OSError as error:
             print(f"{path}: {error.strerror}", file=sys.stderr)
             raise typer.Exit(EXIT_INVALID) from error
-    story = build_request_timeline(request_id, lines)
-    if not story:
-        print(f"no line names the request {request_id}", file=sys.stderr)
+    timeline = build_request_timeline(request_id, lines)
+    if not timeline:
+        print(f"no log line of request {request_id} found", file=sys.stderr)
         raise typer.Exit(EXIT_DIFFERENT)
-    for line in story:
+    for line in timeline:
         print(line.describe())
 
 
 def _describe_status(report: StatusReport) -> str:
-    in_table = "unknown" if report.version is None else report.version
-    lines = [f"version in the table: {in_table}"]
-    for version, share in report.shares.items():
-        lines.append(f"version {version}: {share:.1%} of the answering instances")
+    table_version = "unknown" if report.version is None else report.version
+    lines = [f"version in the table: {table_version}"]
+    for version, share in report.version_shares.items():
+        lines.append(f"version {version}: {share:.1%} of the reachable instances")
     for item in report.instances:
         version = "-" if item.version is None else item.version
         lines.append(f"{item.instance}  {item.address}  {item.status}  {version}")
@@ -269,8 +273,8 @@
 
 
 @contextlib.contextmanager
-def _reporting(as_json: bool) -> Iterator[None]:
-    """Print a command's error and end the process with its exit code."""
+def _handling_errors(as_json: bool) -> Iterator[None]:
+    """Print a command error and exit with its exit code."""
     try:
         yield
     except CommandError as error:
--- a/packages/operator/src/ebonyhaven_operator/exceptions.py
+++ b/packages/operator/src/ebonyhaven_operator/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the operators' tool and their exit codes."""
+"""Errors of the operators' command line tool and their exit codes."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class CommandError(Exception):
-    """A command did not do what was asked.
+    """A command failed.
 
     Parameters
     ----------
     outcome : str
-        Short name of the outcome for programs.
+        Machine-readable name of the outcome.
     message : str
-        What is told to the operator.
+        Message to the operator.
     exit_code : int
         Exit code of the process.
     **details : object
-        Further JSON values for programs.
+        Further fields of the JSON output.
     """
 
     def __init__(self, outcome: str, message: str, *, exit_code: int, **details: Any):
@@ -37,20 +37,20 @@
 
 
 def make_conflict_error(
-    base_version: int, winner: ConfigurationEntry | None
+    base_version: int, current: ConfigurationEntry | None
 ) -> CommandError:
-    """Return the error for a change that lost against another one.
+    """Return the error for a change whose base version is not current.
 
     Parameters
     ----------
     base_version : int
         Version that the change was based on.
-    winner : ConfigurationEntry or None
-        Configuration that is current instead; None if there is none at all.
+    current : ConfigurationEntry or None
+        Current configuration; None if none has been accepted.
     """
-    version = winner.version if winner else 0
-    author = winner.author if winner else ""
-    change_id = winner.change_id if winner else ""
+    version = current.version if current else 0
+    author = current.author if current else ""
+    change_id = current.change_id if current else ""
     message = (
         f"not accepted: based on version {base_version}, but version {version} "
         f"by {author or 'nobody'} (change {change_id or 'none'}) is current; "
--- a/packages/store/src/ebonyhaven_store/__init__.py
+++ b/packages/store/src/ebonyhaven_store/__init__.py
@@ -1,4 +1,4 @@
-"""Client of the platform's table, object, weight and instance services."""
+"""Clients of the platform's table, object store, weight store and instance list."""
 
 from __future__ import annotations
 
--- a/packages/store/src/ebonyhaven_store/_agents.py
+++ b/packages/store/src/ebonyhaven_store/_agents.py
@@ -1,4 +1,4 @@
-"""HTTP agent that connects to IP addresses without resolving names."""
+"""HTTP agent that connects to IPv4 addresses without name resolution."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @implementer(IAgentEndpointFactory)
 class IPv4EndpointFactory:
-    """Makes endpoints for URIs whose host is an IP address.
+    """Creates TCP endpoints for URIs whose host is an IPv4 address.
 
-    The agent's usual endpoint resolves names in a thread and reports a refused
-    connection only 0.3 s later, when it has no further address to try.
+    The default endpoint of ``Agent`` resolves names in a thread and reports a
+    refused connection only after 0.3 s, the delay before it tries the next address.
 
     Parameters
     ----------
     reactor : IReactorTCP
     connect_timeout_s : float
-        Longest time that connecting may take, seconds.
+        Connect timeout in seconds.
     """
 
     __slots__ = ("_connect_timeout_s", "_reactor")
@@ -32,7 +32,7 @@
         self._connect_timeout_s = connect_timeout_s
 
     def endpointForURI(self, uri: URI) -> IStreamClientEndpoint:  # noqa: N802
-        """Return the endpoint of a URI.
+        """Return the TCP endpoint of a URI.
 
         Parameters
         ----------
@@ -56,15 +56,16 @@
     connect_timeout_s: float,
     pool: HTTPConnectionPool | None = None,
 ) -> Agent:
-    """Return an agent for URIs whose host is an IP address.
+    """Return an agent for URIs whose host is an IPv4 address.
 
     Parameters
     ----------
     reactor : IReactorTCP
     connect_timeout_s : float
-        Longest time that connecting may take, seconds.
+        Connect timeout in seconds.
     pool : HTTPConnectionPool, optional
-        Pool of open connections; without it each request has its own.
+        Pool of persistent connections; without it each request opens a new
+        connection.
 
     Returns
     -------
--- a/packages/store/src/ebonyhaven_store/_instances.py
+++ b/packages/store/src/ebonyhaven_store/_instances.py
@@ -1,4 +1,7 @@
-"""Client of the platform's lagging list of instances and backend servers."""
+"""Client of the platform's list of instances and backend servers.
+
+The list is eventually consistent: it lags behind registrations.
+"""
 
 from __future__ import annotations
 
@@ -12,26 +15,29 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ListedProcess:
-    """One entry of the platform's list.
+    """Instance or backend server in the platform's list.
 
     Parameters
     ----------
     name : str
-        Name of the instance or backend server.
+        Unique name of the instance or backend server.
     kind : str
         ``"instance"`` or ``"backend_server"``.
     address : str
-        ``IP:PORT`` for callers, or of the backend server.
+        ``IP:PORT`` at which an instance serves callers, or at which the backend
+        server serves instances.
     control_address : str
-        ``IP:PORT`` for other instances; empty for backend servers.
+        ``IP:PORT`` of an instance for control connections from other instances;
+        empty for backend servers.
     data_centre, region : str
-        Where it runs.
+        Location of the process.
     state : str
         ``"live"`` or ``"leaving"``.
     pool : str
         Pool of a backend server; empty for instances.
     identity : str
-        Changes when a process of the same name is replaced.
+        Identifier of the process; differs between processes that use the same name
+        one after the other.
     """
 
     name: str
@@ -47,7 +53,15 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class InstanceList:
-    """The platform's list with its age in milliseconds."""
+    """The platform's list at one point in time.
+
+    Parameters
+    ----------
+    processes : tuple of ListedProcess
+        All entries.
+    measured_ms_ago : float
+        Age of the list in milliseconds, as reported by the platform.
+    """
 
     processes: tuple[ListedProcess, ...]
     measured_ms_ago: float
@@ -67,16 +81,16 @@
 
 
 def _parse_entry(entry: dict[str, Any]) -> ListedProcess:
-    known = {
+    fields = {
         name: value
         for name, value in entry.items()
         if name in _FIELD_NAMES and value is not None
     }
-    return ListedProcess(**known)
+    return ListedProcess(**fields)
 
 
 class InstanceListClient:
-    """Reads the platform's list.
+    """Client of the platform's list of instances and backend servers.
 
     Parameters
     ----------
@@ -90,7 +104,7 @@
         self._transport = transport
 
     def read(self) -> Deferred[InstanceList]:
-        """Return the present list.
+        """Return the platform's current list.
 
         Raises
         ------
@@ -100,10 +114,10 @@
         return Deferred.fromCoroutine(self._read())
 
     async def _read(self) -> InstanceList:
-        answer = await self._transport.exchange(
+        response = await self._transport.exchange(
             "GET", "/instances", step="instances.read"
         )
-        body = answer.decode()
+        body = response.decode()
         return InstanceList(
             processes=tuple(_parse_entry(entry) for entry in body["instances"]),
             measured_ms_ago=body["measured_ms_ago"],
--- a/packages/store/src/ebonyhaven_store/_objects.py
+++ b/packages/store/src/ebonyhaven_store/_objects.py
@@ -10,7 +10,7 @@
 
 
 class ObjectClient:
-    """Reads and writes objects.
+    """Client of the platform's object store.
 
     Parameters
     ----------
@@ -24,27 +24,27 @@
         self._transport = transport
 
     def read(self, name: str) -> Deferred[bytes | None]:
-        """Return the bytes of an object, or None if it is absent."""
+        """Return the content of an object, or None if it does not exist."""
         return Deferred.fromCoroutine(self._read(name))
 
     def write(self, name: str, content: bytes) -> Deferred[None]:
-        """Store an object; repeating the call is safe."""
-        return Deferred.fromCoroutine(self._change("PUT", name, content))
+        """Create or replace an object; the operation is idempotent."""
+        return Deferred.fromCoroutine(self._send_change("PUT", name, content))
 
     def delete(self, name: str) -> Deferred[None]:
-        """Delete an object; an absent one is no error."""
-        return Deferred.fromCoroutine(self._change("DELETE", name, None))
+        """Delete an object; deleting one that does not exist is no error."""
+        return Deferred.fromCoroutine(self._send_change("DELETE", name, None))
 
     async def _read(self, name: str) -> bytes | None:
-        answer = await self._transport.exchange(
+        response = await self._transport.exchange(
             "GET",
             f"/objects/{quote(name)}",
             step="objects.read",
             accepted=frozenset({200, 404}),
         )
-        return answer.body if answer.status == 200 else None
+        return response.body if response.status == 200 else None
 
-    async def _change(self, method: str, name: str, content: bytes | None) -> None:
+    async def _send_change(self, method: str, name: str, content: bytes | None) -> None:
         step = "objects.write" if method == "PUT" else "objects.delete"
         await self._transport.exchange(
             method, f"/objects/{quote(name)}", step=step, body=content
@@ -52,7 +52,7 @@
 
 
 class WeightClient:
-    """Asks for permission to fetch weights.
+    """Client of the platform's weight store, which limits the rate of fetches.
 
     Parameters
     ----------
@@ -66,14 +66,14 @@
         self._transport = transport
 
     def request_fetch(self, name: str) -> Deferred[None]:
-        """Ask to fetch the weights ``name`` once.
+        """Request permission for one fetch of the weights ``name``.
 
         Raises
         ------
         Throttled
-            The weight store's rate is used up for now.
+            The rate limit of the weight store is exceeded.
         Unavailable
-            The weight store cannot be asked.
+            The weight store cannot be reached or does not serve requests.
         """
         return Deferred.fromCoroutine(self._request_fetch(name))
 
--- a/packages/store/src/ebonyhaven_store/_resolution.py
+++ b/packages/store/src/ebonyhaven_store/_resolution.py
@@ -1,9 +1,9 @@
-"""Writes whose lost confirmation is resolved by reading back.
+"""Transactions that are retried until their outcome is known.
 
-An unconfirmed transaction may have been applied, may never be applied, or may
-still be on its way. Repeating it settles the matter: it carries a condition on
-the row that it writes, so at most one of its copies commits, and whichever
-commits keeps the others out.
+An unconfirmed transaction may have been applied, may still be applied later, or may
+never be. Retrying it determines which: the transaction has a condition on the row
+that it writes, so at most one attempt commits, and all others fail with a conflict
+that reports the row as written.
 """
 
 from __future__ import annotations
@@ -24,14 +24,15 @@
 
 
 class RetryPolicy(NamedTuple):
-    """How long a write is tried.
+    """Deadline and jitter of the retries of an operation.
 
     Parameters
     ----------
     deadline : float
-        Time in seconds of the clock after which no new attempt starts.
+        Time in seconds, on the clock of the operation, after which no attempt
+        starts.
     rng : random.Random
-        Source of the jitter between attempts.
+        Source of the jitter of retry delays.
     """
 
     deadline: float
@@ -39,14 +40,15 @@
 
 
 class WriteResult(NamedTuple):
-    """A write that is known to have taken effect.
+    """Result of a transaction that is known to have committed.
 
     Parameters
     ----------
     version : int
         Version of the written marker row.
     confirmed_by_read : bool
-        True if the answer was lost and the row was read back instead.
+        True if the response to the committed attempt was lost and the row in the
+        conflict of a later attempt confirmed it.
     """
 
     version: int
@@ -61,22 +63,22 @@
     clock: Any,
     retry_policy: RetryPolicy,
 ) -> Deferred[WriteResult]:
-    """Apply a transaction and find out whether it took effect.
+    """Apply a transaction, retrying it until its outcome is known.
 
     Parameters
     ----------
     table : TableClient
-        The table to write to.
+        Table to write to.
     transaction : Transaction
-        It must hold a condition on ``marker_key`` and a write to it whose value no
+        Must include a condition on ``marker_key`` and a write to it whose value no
         other writer uses.
     marker_key : str
-        Key of the row that proves the write, and that nobody overwrites while
-        the write is being resolved.
+        Key of the row that identifies the writer. Other writers must not overwrite
+        the row before the outcome is known.
     clock : IReactorTime
         Source of time and delayed calls.
     retry_policy : RetryPolicy
-        When to give up.
+        Deadline and jitter of the retries.
 
     Returns
     -------
@@ -85,18 +87,19 @@
     Raises
     ------
     Conflict
-        Another write won; this one did not and will not take effect.
+        Another transaction committed first; this one has not been and will not be
+        applied.
     Unavailable
-        No attempt was ever unconfirmed: nothing was written.
+        The deadline passed and no attempt was unconfirmed; nothing was written.
     Unconfirmed
-        The deadline passed before the matter could be settled.
+        The deadline passed before the outcome was known.
     """
     resolution = _Resolution(table, transaction, marker_key, clock, retry_policy)
     return Deferred.fromCoroutine(resolution.run())
 
 
 class _Resolution:
-    """One write being tried until it is settled."""
+    """Retries of one transaction until its outcome is known."""
 
     def __init__(
         self,
@@ -108,11 +111,11 @@
     ):
         self._table = table
         self._transaction = transaction
-        self._marker = marker_key
+        self._marker_key = marker_key
         self._clock = clock
-        self._limit = retry_policy
+        self._retry_policy = retry_policy
         self._value = {item.key: item.value for item in transaction.writes}[marker_key]
-        self._doubt: Unconfirmed | None = None
+        self._unconfirmed_error: Unconfirmed | None = None
 
     async def run(self) -> WriteResult:
         delay_s = INITIAL_RETRY_DELAY_S
@@ -121,30 +124,30 @@
             try:
                 return WriteResult(await self._table.transact(self._transaction), False)
             except Conflict as conflict:
-                return self._settle(conflict)
+                return self._resolve_conflict(conflict)
             except Unconfirmed as error:
-                self._doubt = error
-                failure: Exception = error
+                self._unconfirmed_error = error
+                last_error: Exception = error
             except Throttled as error:
                 wait_s = max(delay_s, error.retry_after_s)
-                failure = error
+                last_error = error
             except Unavailable as error:
-                failure = error
-            wait_s *= self._limit.rng.uniform(0.5, 1.5)
-            if self._clock.seconds() + wait_s > self._limit.deadline:
-                raise self._doubt or failure
+                last_error = error
+            wait_s *= self._retry_policy.rng.uniform(0.5, 1.5)
+            if self._clock.seconds() + wait_s > self._retry_policy.deadline:
+                raise self._unconfirmed_error or last_error
             await task.deferLater(self._clock, wait_s)
             delay_s = min(MAX_RETRY_DELAY_S, delay_s * RETRY_DELAY_FACTOR)
 
-    def _settle(self, conflict: Conflict) -> WriteResult:
+    def _resolve_conflict(self, conflict: Conflict) -> WriteResult:
         for row in conflict.rows:
-            if self._is_own(row):
+            if self._was_written_by_earlier_attempt(row):
                 return WriteResult(row.version, True)
         raise conflict
 
-    def _is_own(self, row: Row) -> bool:
+    def _was_written_by_earlier_attempt(self, row: Row) -> bool:
         return (
-            self._doubt is not None
-            and row.key == self._marker
+            self._unconfirmed_error is not None
+            and row.key == self._marker_key
             and row.value == self._value
         )
--- a/packages/store/src/ebonyhaven_store/_rows.py
+++ b/packages/store/src/ebonyhaven_store/_rows.py
@@ -6,16 +6,17 @@
 
 
 class Row(NamedTuple):
-    """One row as read.
+    """Row of the table.
 
     Parameters
     ----------
     key : str
-        Name of the row.
+        Key of the row.
     value : object
-        JSON value; None where the row is deleted or absent.
+        JSON value; None if the row was deleted or never existed.
     version : int
-        Version of the table at which the row was last written, 0 if absent.
+        Version of the table at the last write to the row; 0 if the row does not
+        exist.
     """
 
     key: str
@@ -24,21 +25,21 @@
 
 
 class RowSet(NamedTuple):
-    """Rows read together.
+    """Rows returned by one read.
 
     Parameters
     ----------
     rows : tuple of Row
-        The rows found.
+        Rows that exist, or that a read of changes returned as deleted.
     version : int
-        Version of the table at the time of reading.
+        Version of the table at the time of the read.
     """
 
     rows: tuple[Row, ...]
     version: int
 
     def find(self, key: str) -> Row:
-        """Return the row named ``key``, with version 0 if it is absent."""
+        """Return the row of ``key``, or a row with version 0 if there is none."""
         for row in self.rows:
             if row.key == key:
                 return row
@@ -46,30 +47,30 @@
 
 
 class Condition(NamedTuple):
-    """Version that a row must have; 0 means that it must be absent."""
+    """Version that a row must have; 0 requires that the row does not exist."""
 
     key: str
     version: int
 
 
 class Write(NamedTuple):
-    """New value of a row; None deletes it."""
+    """New value of a row; None deletes the row."""
 
     key: str
     value: Any
 
 
 class Transaction(NamedTuple):
-    """Writes that are applied together if all conditions hold.
+    """Writes that are applied atomically if all conditions hold.
 
     Parameters
     ----------
     transaction_id : str
-        Name of the transaction for logs; the platform does not deduplicate by it.
+        Identifier for the platform's logs; the platform does not deduplicate by it.
     conditions : tuple of Condition
-        What must hold.
+        Required versions of rows.
     writes : tuple of Write
-        What is written.
+        New values of rows.
     """
 
     transaction_id: str
--- a/packages/store/src/ebonyhaven_store/_table.py
+++ b/packages/store/src/ebonyhaven_store/_table.py
@@ -19,12 +19,12 @@
     return tuple(Row(row["key"], row["value"], row["version"]) for row in rows)
 
 
-def _start(coroutine: Coroutine) -> Deferred:
+def _start_coroutine(coroutine: Coroutine) -> Deferred:
     return Deferred.fromCoroutine(coroutine)
 
 
 class TableClient:
-    """Reads and writes rows of the platform's table.
+    """Client of the platform's transactional table.
 
     Parameters
     ----------
@@ -39,16 +39,16 @@
 
     @property
     def peer(self) -> str:
-        """Address of the platform."""
+        """``IP:PORT`` of the platform."""
         return self._transport.address
 
     def transact(self, transaction: Transaction) -> Deferred[int]:
-        """Apply a transaction once.
+        """Send a transaction once, without retries.
 
         Parameters
         ----------
         transaction : Transaction
-            Conditions and writes.
+            Conditions and writes to send.
 
         Returns
         -------
@@ -62,12 +62,13 @@
         Throttled, Unavailable
             Nothing was written.
         Unconfirmed
-            The writes may have taken effect; see ``resolve_write``.
+            The writes may have been or may still be applied; ``resolve_write``
+            determines which.
         """
-        return _start(self._transact(transaction))
+        return _start_coroutine(self._transact(transaction))
 
     def read_rows(self, keys: Sequence[str]) -> Deferred[RowSet]:
-        """Read named rows; absent ones are left out.
+        """Read rows by key, omitting those that do not exist.
 
         Raises
         ------
@@ -75,7 +76,7 @@
             The rows could not be read.
         """
         query = [("key", key) for key in keys]
-        return _start(self._read("rows", query, field="rows"))
+        return _start_coroutine(self._read("rows", query, field="rows"))
 
     def read_range(self, prefix: str) -> Deferred[RowSet]:
         """Read all rows whose key starts with ``prefix``.
@@ -85,22 +86,22 @@
         Throttled, Unavailable
             The rows could not be read.
         """
-        return _start(self._read("range", [("prefix", prefix)], field="rows"))
+        return _start_coroutine(self._read("range", [("prefix", prefix)], field="rows"))
 
     def read_changes(self, since: int, *, prefix: str = "") -> Deferred[RowSet]:
-        """Read the latest state of each row changed after a version.
+        """Read the current state of each row that changed after a version.
 
         Parameters
         ----------
         since : int
-            Version of the table that is known already.
+            Version of the table; only rows changed after it are returned.
         prefix : str
-            Only rows whose key starts with this are returned.
+            Only rows whose key starts with this prefix are returned.
 
         Returns
         -------
         Deferred of RowSet
-            Deleted rows have the value None.
+            Includes deleted rows, with the value None.
 
         Raises
         ------
@@ -108,7 +109,7 @@
             The rows could not be read.
         """
         query = [("since", str(since)), ("prefix", prefix)]
-        return _start(self._read("changes", query, field="changes"))
+        return _start_coroutine(self._read("changes", query, field="changes"))
 
     async def _transact(self, transaction: Transaction) -> int:
         body = {
@@ -116,23 +117,23 @@
             "conditions": [item._asdict() for item in transaction.conditions],
             "writes": [item._asdict() for item in transaction.writes],
         }
-        answer = await self._transport.exchange(
+        response = await self._transport.exchange(
             "POST",
             "/table/transact",
             step=TRANSACT_STEP,
             body=json.dumps(body).encode(),
             accepted=frozenset({200, 409}),
         )
-        if answer.status == 409:
-            rows = _parse_rows(answer.decode()["conflicts"])
+        if response.status == 409:
+            rows = _parse_rows(response.decode()["conflicts"])
             raise Conflict(step=TRANSACT_STEP, peer=self.peer, rows=rows)
-        return answer.decode()["version"]
+        return response.decode()["version"]
 
     async def _read(
-        self, name: str, query: Sequence[tuple[str, str]], *, field: str
+        self, operation: str, query: Sequence[tuple[str, str]], *, field: str
     ) -> RowSet:
-        answer = await self._transport.exchange(
-            "GET", f"/table/{name}", step=f"table.{name}", query=query
+        response = await self._transport.exchange(
+            "GET", f"/table/{operation}", step=f"table.{operation}", query=query
         )
-        body = answer.decode()
+        body = response.decode()
         return RowSet(_parse_rows(body[field]), body["version"])
--- a/packages/store/src/ebonyhaven_store/_transport.py
+++ b/packages/store/src/ebonyhaven_store/_transport.py
@@ -1,4 +1,4 @@
-"""HTTP exchanges with the platform and the mapping of their failures."""
+"""HTTP requests to the platform and the mapping of failures to exceptions."""
 
 from __future__ import annotations
 
@@ -37,18 +37,18 @@
 
 
 class PlatformResponse(NamedTuple):
-    """Status and body of an answer."""
+    """Status and body of an HTTP response of the platform."""
 
     status: int
     body: bytes
 
     def decode(self) -> Any:
-        """Return the body as JSON."""
+        """Return the value of the JSON body."""
         return json.loads(self.body)
 
 
 class PlatformTransport:
-    """Connections to one platform address.
+    """Pool of HTTP connections to one address of the platform.
 
     Parameters
     ----------
@@ -57,7 +57,8 @@
     address : str
         ``IP:PORT`` of the platform.
     timeout_s : float
-        Longest duration of one exchange, connecting and body included.
+        Timeout of one request in seconds, from connecting to the end of the
+        response body.
     """
 
     __slots__ = ("_agent", "_pool", "_reactor", "_timeout_s", "address")
@@ -70,7 +71,8 @@
         self._timeout_s = timeout_s
         self._pool = HTTPConnectionPool(reactor)
         self._pool.maxPersistentPerHost = MAX_CONNECTIONS
-        # A retry on a fresh connection would hide that a write may have landed.
+        # An automatic retry on a new connection would hide that the first attempt
+        # of a write may have been applied.
         self._pool.retryAutomatically = False
         self._agent = make_agent(reactor, connect_timeout_s=timeout_s, pool=self._pool)
 
@@ -84,20 +86,20 @@
         body: bytes | None = None,
         accepted: frozenset[int] = frozenset({200}),
     ) -> Deferred[PlatformResponse]:
-        """Send one request and return its answer.
+        """Send one request and return its response.
 
         Parameters
         ----------
         method, path : str
             HTTP method and path.
         step : str
-            Name of the operation for errors.
+            Name of the operation for exceptions.
         query : sequence of (str, str)
-            Query arguments.
+            Query parameters.
         body : bytes or None
             Body of the request.
         accepted : frozenset of int
-            Statuses that are returned rather than raised.
+            Status codes that are returned; any other raises an exception.
 
         Returns
         -------
@@ -106,11 +108,11 @@
         Raises
         ------
         Throttled, Unavailable
-            The operation was not done.
+            The operation was not executed.
         Unconfirmed
-            A write may have taken effect.
+            A write may have been or may still be applied.
         Rejected
-            The platform calls the request malformed.
+            The platform rejected the request as invalid.
         """
         url = f"http://{self.address}{path}"
         if query:
@@ -134,21 +136,23 @@
         accepted: frozenset[int],
     ) -> PlatformResponse:
         try:
-            response = await treq.request(
+            http_response = await treq.request(
                 method, url, data=body, agent=self._agent, reactor=self._reactor
             )
-            answer = PlatformResponse(response.code, await treq.content(response))
+            response = PlatformResponse(
+                http_response.code, await treq.content(http_response)
+            )
         except Exception as error:
-            raise self._map_failure(method, step, error) from error
-        if answer.status in accepted:
-            return answer
-        raise self._map_status(step, answer.status, response.headers)
+            raise self._map_exception(method, step, error) from error
+        if response.status in accepted:
+            return response
+        raise self._map_status(step, response.status, http_response.headers)
 
-    def _map_failure(self, method: str, step: str, error: Exception) -> PlatformError:
+    def _map_exception(self, method: str, step: str, error: Exception) -> PlatformError:
         reason = f"{type(error).__name__} {error}".strip()
-        not_done = method == "GET" or isinstance(error, NOT_SENT_ERRORS)
-        kind = Unavailable if not_done else Unconfirmed
-        return kind(step=step, peer=self.address, reason=reason)
+        had_no_effect = method == "GET" or isinstance(error, NOT_SENT_ERRORS)
+        error_type = Unavailable if had_no_effect else Unconfirmed
+        return error_type(step=step, peer=self.address, reason=reason)
 
     def _map_status(self, step: str, status: int, headers: Any) -> PlatformError:
         reason = f"status {status}"
--- a/packages/store/src/ebonyhaven_store/exceptions.py
+++ b/packages/store/src/ebonyhaven_store/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the platform client, each with the step and the peer."""
+"""Exceptions of the platform clients."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class PlatformError(Exception):
-    """An operation of the platform did not succeed.
+    """An operation on the platform failed.
 
     Parameters
     ----------
     step : str
-        Operation that was tried, such as ``"table.transact"``.
+        Name of the operation, such as ``"table.transact"``.
     peer : str
-        Address of the platform.
+        ``IP:PORT`` of the platform.
     reason : str
-        What was seen.
+        Cause of the failure, such as an HTTP status or the error of the connection.
     """
 
     def __init__(self, *, step: str, peer: str, reason: str):
@@ -26,16 +26,16 @@
 
 
 class Unavailable(PlatformError):
-    """The operation was not done."""
+    """The operation had no effect; a retry may succeed."""
 
 
 class Throttled(Unavailable):
-    """The operation was not done because the rate was exceeded.
+    """The platform's rate limit was exceeded; the operation had no effect.
 
     Parameters
     ----------
     retry_after_s : float
-        Seconds after which the platform may accept it.
+        Delay in seconds after which the platform may accept the operation.
     """
 
     def __init__(self, *, step: str, peer: str, reason: str, retry_after_s: float):
@@ -44,17 +44,17 @@
 
 
 class Unconfirmed(PlatformError):
-    """The write may have taken effect or may still take effect."""
+    """The write may have been applied or may still be applied."""
 
 
 class Conflict(PlatformError):
-    """A condition of a transaction did not hold and nothing was written.
+    """A condition of a transaction did not hold; nothing was written.
 
     Parameters
     ----------
     rows : tuple of Row
-        Present state of the rows whose conditions failed; an absent row has
-        version 0 and no value.
+        Current state of the rows whose conditions failed; a row that does not
+        exist has version 0 and the value None.
     """
 
     def __init__(self, *, step: str, peer: str, rows: tuple[Row, ...]):
@@ -64,4 +64,4 @@
 
 
 class Rejected(PlatformError):
-    """The platform refuses the operation as malformed; a retry cannot help."""
+    """The platform rejected the operation as invalid; retries fail as well."""
--- a/tests/operator_tool/test_commands.py
+++ b/tests/operator_tool/test_commands.py
@@ -1,4 +1,8 @@
-"""The directory is not named after its package: it would hide ``operator``."""
+"""Tests of ``ebonyhavenctl`` against a platform stand-in.
+
+The directory is not called ``operator`` because it would shadow the standard library
+module of that name.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +13,8 @@
 
 from ebonyhaven_standins.cluster import Cluster, find_binary
 
-DEADLINE_S = 60.0
-OPERATORS = 6
+COMMAND_TIMEOUT_S = 60.0
+OPERATOR_COUNT = 6
 DECLARATION = {
     "classes": {
         "look-up": {"first_token_ms": 500, "gap_ms": 62, "resume_ms": 1000},
@@ -23,152 +27,164 @@
 }
 
 
-class Finished(NamedTuple):
-    code: int
-    answer: dict[str, Any]
+class CommandResult(NamedTuple):
+    exit_code: int
+    output: dict[str, Any]
     error: str
 
 
-class Operators(Cluster):
-    """A platform and operators who run the tool."""
+class OperatorCluster(Cluster):
+    """Platform stand-in against which tests run ``ebonyhavenctl``."""
 
     def __enter__(self):
         self.start_platform()
         return super().__enter__()
 
-    def write(self, name: str, **changes: Any) -> str:
-        document = {**copy.deepcopy(DECLARATION), **changes}
+    def write_declaration(self, name: str, **overrides: Any) -> str:
+        declaration = {**copy.deepcopy(DECLARATION), **overrides}
         path = self.folder / f"{name}.json"
-        path.write_text(json.dumps(document))
+        path.write_text(json.dumps(declaration))
         return str(path)
 
-    def begin(self, *arguments: str) -> subprocess.Popen:
+    def start_command(self, *arguments: str) -> subprocess.Popen:
         command = [find_binary("ebonyhavenctl"), *arguments, "--json"]
         command += ["--platform", self.addresses["platform"]]
         return subprocess.Popen(
             command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
         )
 
-    def finish(self, process: subprocess.Popen) -> Finished:
-        output, error = process.communicate(timeout=DEADLINE_S)
-        answer = json.loads(output) if output else {}
-        return Finished(process.returncode, answer, error)
+    def wait_for_result(self, process: subprocess.Popen) -> CommandResult:
+        stdout, stderr = process.communicate(timeout=COMMAND_TIMEOUT_S)
+        output = json.loads(stdout) if stdout else {}
+        return CommandResult(process.returncode, output, stderr)
 
-    def run(self, *arguments: str) -> Finished:
-        return self.finish(self.begin(*arguments))
+    def run_command(self, *arguments: str) -> CommandResult:
+        return self.wait_for_result(self.start_command(*arguments))
 
-    def history(self) -> list[dict[str, Any]]:
-        return self.run("history").answer["versions"]
+    def read_history(self) -> list[dict[str, Any]]:
+        return self.run_command("history").output["versions"]
 
 
-def name_workspace(name: str) -> dict[str, Any]:
+def make_workspaces(name: str) -> dict[str, Any]:
     return {"workspaces": {name: {}}}
 
 
-def test_change_is_diffed_applied_and_shown():
-    with Operators() as operators:
-        first = operators.write("first")
-        second = operators.write("second", **name_workspace("studio-b"))
-        assert operators.run("apply", first, "--author", "a").code == 0
-        difference = operators.run("diff", second)
-        assert difference.code == 1
-        assert [item["path"] for item in difference.answer["changes"]] == [
+def test_diff_apply_show_and_history_report_a_change():
+    with OperatorCluster() as cluster:
+        first = cluster.write_declaration("first")
+        second = cluster.write_declaration("second", **make_workspaces("studio-b"))
+        assert cluster.run_command("apply", first, "--author", "a").exit_code == 0
+        difference = cluster.run_command("diff", second)
+        assert difference.exit_code == 1
+        assert [item["path"] for item in difference.output["changes"]] == [
             "workspaces.studio-a",
             "workspaces.studio-b",
         ]
-        base = str(difference.answer["base_version"])
-        applied = operators.run("apply", second, "--base", base, "--author", "b")
-        assert (applied.code, applied.answer["version"]) == (0, 2)
-        assert operators.run("diff", second).code == 0
-        shown = operators.run("show").answer
-        assert (shown["version"], shown["author"]) == (2, "b")
-        assert [item["author"] for item in operators.history()] == ["b", "a"]
-        again = operators.run("apply", second).answer
+        base = str(difference.output["base_version"])
+        applied = cluster.run_command("apply", second, "--base", base, "--author", "b")
+        assert (applied.exit_code, applied.output["version"]) == (0, 2)
+        assert cluster.run_command("diff", second).exit_code == 0
+        current = cluster.run_command("show").output
+        assert (current["version"], current["author"]) == (2, "b")
+        assert [item["author"] for item in cluster.read_history()] == ["b", "a"]
+        again = cluster.run_command("apply", second).output
         assert (again["outcome"], again["version"]) == ("unchanged", 2)
 
 
-def test_invalid_declaration_is_refused_with_its_path():
-    with Operators() as operators:
-        bad = operators.write("bad", workspaces=3)
-        refused = operators.run("apply", bad)
-        assert refused.code == 2
-        assert refused.answer["reason"] == "workspaces: expected an object, got 3"
-        assert operators.run("show").answer == {"version": 0}
-
-
-def test_one_of_racing_operators_wins_and_the_others_hear_who():
-    with Operators() as operators:
-        operators.run("apply", operators.write("first"))
-        racing = []
-        for number in range(OPERATORS):
-            name = f"racer-{number}"
-            file = operators.write(name, **name_workspace(name))
-            racing.append(
-                operators.begin("apply", file, "--base", "1", "--author", name)
+def test_invalid_declaration_is_rejected_with_the_path_of_the_error():
+    with OperatorCluster() as cluster:
+        bad = cluster.write_declaration("bad", workspaces=3)
+        rejected = cluster.run_command("apply", bad)
+        assert rejected.exit_code == 2
+        assert rejected.output["reason"] == "workspaces: expected an object, got 3"
+        assert cluster.run_command("show").output == {"version": 0}
+
+
+def test_one_of_concurrent_changes_wins_and_others_report_the_winner():
+    with OperatorCluster() as cluster:
+        cluster.run_command("apply", cluster.write_declaration("first"))
+        processes = []
+        for number in range(OPERATOR_COUNT):
+            name = f"operator-{number}"
+            file = cluster.write_declaration(name, **make_workspaces(name))
+            processes.append(
+                cluster.start_command("apply", file, "--base", "1", "--author", name)
             )
-        finished = [operators.finish(process) for process in racing]
-        won = [item for item in finished if item.code == 0]
-        lost = [item for item in finished if item.code == 3]
-        assert (len(won), len(lost)) == (1, OPERATORS - 1)
-        winner = operators.history()[0]
+        results = [cluster.wait_for_result(process) for process in processes]
+        won = [item for item in results if item.exit_code == 0]
+        lost = [item for item in results if item.exit_code == 3]
+        assert (len(won), len(lost)) == (1, OPERATOR_COUNT - 1)
+        winner = cluster.read_history()[0]
         assert winner["version"] == 2
         for item in lost:
-            assert item.answer["winner_version"] == 2
-            assert item.answer["winner_change_id"] == winner["change_id"]
-            assert item.answer["winner_author"] == winner["author"]
-        assert won[0].answer["change_id"] == winner["change_id"]
-
-
-def test_lost_confirmation_is_settled_and_written_once():
-    with Operators() as operators:
-        file = operators.write("first")
-        operators.platform.set_faults(lose_answers=1)
-        applied = operators.run("apply", file)
-        assert (applied.code, applied.answer["outcome"]) == (0, "accepted")
-        assert [item["version"] for item in operators.history()] == [1]
-
-
-def test_unsettled_write_says_so_and_repeating_its_change_id_settles_it():
-    with Operators() as operators:
-        file = operators.write("first")
-        operators.platform.set_faults(lose_answers=100)
-        doubtful = operators.run("apply", file, "--timeout", "0.01")
-        assert (doubtful.code, doubtful.answer["outcome"]) == (5, "unconfirmed")
-        operators.platform.set_faults(lose_answers=0)
-        change_id = doubtful.answer["change_id"]
-        settled = operators.run("apply", file, "--change-id", change_id)
-        assert (settled.code, settled.answer["outcome"]) == (0, "accepted_before")
-        operators.run("apply", operators.write("b", **name_workspace("studio-b")))
-        repeated = operators.run("apply", file, "--change-id", change_id)
-        assert (repeated.code, repeated.answer["version"]) == (0, 1)
-        assert [item["version"] for item in operators.history()] == [2, 1]
-
-
-def test_change_id_of_another_declaration_is_refused():
-    with Operators() as operators:
-        operators.run("apply", operators.write("a"), "--change-id", "c1")
-        other = operators.write("b", **name_workspace("studio-b"))
-        refused = operators.run("apply", other, "--change-id", "c1")
-        assert (refused.code, refused.answer["outcome"]) == (2, "change_id_used")
-
-
-def test_outage_is_told_as_nothing_changed():
-    with Operators() as operators:
-        operators.platform.set_faults(outage=True)
-        refused = operators.run("apply", operators.write("a"), "--timeout", "0.5")
-        assert (refused.code, refused.answer["outcome"]) == (4, "unavailable")
-        operators.platform.set_faults(outage=False)
-        assert operators.run("show").answer == {"version": 0}
-
-
-def test_status_counts_versions_and_names_who_does_not_answer():
-    with Operators() as operators:
-        operators.platform.set_faults(list_lag_ms=0)
-        operators.run("apply", operators.write("a"))
+            assert item.output["winner_version"] == 2
+            assert item.output["winner_change_id"] == winner["change_id"]
+            assert item.output["winner_author"] == winner["author"]
+        assert won[0].output["change_id"] == winner["change_id"]
+
+
+def test_change_with_lost_confirmation_is_accepted_once():
+    with OperatorCluster() as cluster:
+        file = cluster.write_declaration("first")
+        cluster.platform.set_faults(lose_answers=1)
+        applied = cluster.run_command("apply", file)
+        assert (applied.exit_code, applied.output["outcome"]) == (0, "accepted")
+        assert [item["version"] for item in cluster.read_history()] == [1]
+
+
+def test_repeating_the_change_id_resolves_an_unconfirmed_change():
+    with OperatorCluster() as cluster:
+        file = cluster.write_declaration("first")
+        cluster.platform.set_faults(lose_answers=100)
+        unconfirmed = cluster.run_command("apply", file, "--timeout", "0.01")
+        assert (unconfirmed.exit_code, unconfirmed.output["outcome"]) == (
+            5,
+            "unconfirmed",
+        )
+        cluster.platform.set_faults(lose_answers=0)
+        change_id = unconfirmed.output["change_id"]
+        confirmed = cluster.run_command("apply", file, "--change-id", change_id)
+        assert (confirmed.exit_code, confirmed.output["outcome"]) == (
+            0,
+            "accepted_before",
+        )
+        cluster.run_command(
+            "apply", cluster.write_declaration("b", **make_workspaces("studio-b"))
+        )
+        repeated = cluster.run_command("apply", file, "--change-id", change_id)
+        assert (repeated.exit_code, repeated.output["version"]) == (0, 1)
+        assert [item["version"] for item in cluster.read_history()] == [2, 1]
+
+
+def test_change_id_used_for_another_declaration_is_rejected():
+    with OperatorCluster() as cluster:
+        cluster.run_command(
+            "apply", cluster.write_declaration("a"), "--change-id", "c1"
+        )
+        other = cluster.write_declaration("b", **make_workspaces("studio-b"))
+        rejected = cluster.run_command("apply", other, "--change-id", "c1")
+        assert (rejected.exit_code, rejected.output["outcome"]) == (2, "change_id_used")
+
+
+def test_outage_is_reported_as_unavailable_and_nothing_changes():
+    with OperatorCluster() as cluster:
+        cluster.platform.set_faults(outage=True)
+        rejected = cluster.run_command(
+            "apply", cluster.write_declaration("a"), "--timeout", "0.5"
+        )
+        assert (rejected.exit_code, rejected.output["outcome"]) == (4, "unavailable")
+        cluster.platform.set_faults(outage=False)
+        assert cluster.run_command("show").output == {"version": 0}
+
+
+def test_status_reports_table_version_and_unreachable_instances():
+    with OperatorCluster() as cluster:
+        cluster.platform.set_faults(list_lag_ms=0)
+        cluster.run_command("apply", cluster.write_declaration("a"))
         entry = {"kind": "instance", "address": "127.0.0.1:1"}
-        operators.platform.register("gone", entry)
-        answer = operators.run("status").answer
-        assert answer["version"] == 1
-        assert answer["instances"][0]["status"] == "unreachable"
-        operators.platform.set_faults(outage=True)
-        assert operators.run("status").answer["version"] is None
+        cluster.platform.register("gone", entry)
+        report = cluster.run_command("status").output
+        assert report["version"] == 1
+        assert report["instances"][0]["status"] == "unreachable"
+        cluster.platform.set_faults(outage=True)
+        assert cluster.run_command("status").output["version"] is None
--- a/tests/store_client/platform_process.py
+++ b/tests/store_client/platform_process.py
@@ -1,4 +1,4 @@
-"""Real processes of the platform stand-in for tests."""
+"""Platform stand-in as a child process of tests."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @contextlib.contextmanager
 def run_platform(*options: str) -> Iterator[str]:
-    """Run a platform stand-in and yield its address."""
+    """Run a platform stand-in and yield its ``IP:PORT``."""
     with Cluster() as cluster:
         yield cluster.start_platform(*options)
 
 
 def set_faults(address: str, **faults: Any) -> None:
-    """Change faults of the stand-in."""
+    """Set faults that the stand-in injects."""
     PlatformCaller(address).set_faults(**faults)
--- a/tests/store_client/test_clients.py
+++ b/tests/store_client/test_clients.py
@@ -31,16 +31,16 @@
 SHORT_TIMEOUT_S = 0.3
 
 
-def change_row(value: object, version: int, key: str = "a") -> Transaction:
+def make_transaction(value: object, version: int, key: str = "a") -> Transaction:
     return Transaction("t", (Condition(key, version),), (Write(key, value),))
 
 
-async def catch(operation: Awaitable) -> PlatformError:
+async def catch_error(operation: Awaitable) -> PlatformError:
     try:
         result = await operation
     except PlatformError as error:
         return error
-    raise AssertionError(f"no error but {result!r}")
+    raise AssertionError(f"expected a PlatformError, got {result!r}")
 
 
 @contextlib.asynccontextmanager
@@ -52,7 +52,7 @@
         await transport.close()
 
 
-def give_limit(seconds: float = 30.0) -> RetryPolicy:
+def make_retry_policy(seconds: float = 30.0) -> RetryPolicy:
     return RetryPolicy(reactor.seconds() + seconds, random.Random(1))
 
 
@@ -60,11 +60,11 @@
     async def check(address: str):
         async with open_transport(address) as transport:
             table = TableClient(transport)
-            both = Transaction(
+            transaction = Transaction(
                 "t", (Condition("a", 0),), (Write("a", 1), Write("b", 2))
             )
-            assert await table.transact(both) == 1
-            conflict = await catch(table.transact(both))
+            assert await table.transact(transaction) == 1
+            conflict = await catch_error(table.transact(transaction))
             assert isinstance(conflict, Conflict)
             assert conflict.rows == (("a", 1, 1),)
             assert conflict.step == "table.transact"
@@ -77,33 +77,33 @@
         run_in_reactor(check, address)
 
 
-def test_changes_show_latest_value_and_deletions_under_prefix():
+def test_changes_include_latest_values_and_deletions_under_prefix():
     async def check(address: str):
         async with open_transport(address) as transport:
             table = TableClient(transport)
-            await table.transact(change_row(1, 0, "p/a"))
-            await table.transact(change_row(2, 1, "p/a"))
-            await table.transact(change_row(3, 0, "q/b"))
+            await table.transact(make_transaction(1, 0, "p/a"))
+            await table.transact(make_transaction(2, 1, "p/a"))
+            await table.transact(make_transaction(3, 0, "q/b"))
             assert (await table.read_changes(0, prefix="p/")).rows == (("p/a", 2, 2),)
-            await table.transact(change_row(None, 2, "p/a"))
+            await table.transact(make_transaction(None, 2, "p/a"))
             changes = await table.read_changes(2)
             assert changes.rows == (("q/b", 3, 3), ("p/a", None, 4))
             assert changes.version == 4
             assert (await table.read_range("p/")).rows == ()
-            await table.transact(change_row(5, 0, "p/a"))
+            await table.transact(make_transaction(5, 0, "p/a"))
 
     with run_platform() as address:
         run_in_reactor(check, address)
 
 
-def test_outage_is_unavailable_and_nothing_is_done():
+def test_outage_is_unavailable_and_writes_nothing():
     async def check(address: str):
         async with open_transport(address) as transport:
             table = TableClient(transport)
             set_faults(address, outage=True)
-            error = await catch(table.transact(change_row(1, 0)))
+            error = await catch_error(table.transact(make_transaction(1, 0)))
             assert type(error) is Unavailable
-            assert type(await catch(table.read_rows(["a"]))) is Unavailable
+            assert type(await catch_error(table.read_rows(["a"]))) is Unavailable
             set_faults(address, outage=False)
             assert (await table.read_rows(["a"])).rows == ()
 
@@ -114,7 +114,9 @@
 def test_refused_connection_is_unavailable():
     async def check(address: str):
         async with open_transport(address) as transport:
-            error = await catch(TableClient(transport).transact(change_row(1, 0)))
+            error = await catch_error(
+                TableClient(transport).transact(make_transaction(1, 0))
+            )
             assert type(error) is Unavailable
 
     with run_platform() as address:
@@ -122,23 +124,25 @@
     run_in_reactor(check, address)
 
 
-def test_slow_write_is_unconfirmed_and_slow_read_unavailable():
+def test_timed_out_write_is_unconfirmed_and_timed_out_read_unavailable():
     async def check(address: str):
         async with open_transport(address, SHORT_TIMEOUT_S) as transport:
             table = TableClient(transport)
-            error = await catch(table.transact(change_row(1, 0)))
+            error = await catch_error(table.transact(make_transaction(1, 0)))
             assert type(error) is Unconfirmed
-            assert type(await catch(table.read_rows(["a"]))) is Unavailable
+            assert type(await catch_error(table.read_rows(["a"]))) is Unavailable
 
     with run_platform() as address:
         set_faults(address, delay_ms=120_000)
         run_in_reactor(check, address)
 
 
-def test_abandoned_slow_write_still_takes_effect():
+def test_timed_out_write_is_still_applied():
     async def check(address: str):
         async with open_transport(address, SHORT_TIMEOUT_S) as transport:
-            error = await catch(TableClient(transport).transact(change_row(1, 0)))
+            error = await catch_error(
+                TableClient(transport).transact(make_transaction(1, 0))
+            )
             assert type(error) is Unconfirmed
         set_faults(address, delay_ms=0)
         async with open_transport(address) as transport:
@@ -151,12 +155,12 @@
         run_in_reactor(check, address)
 
 
-def test_lost_answer_is_unconfirmed_though_written():
+def test_write_with_lost_response_is_unconfirmed_and_applied():
     async def check(address: str):
         async with open_transport(address) as transport:
             table = TableClient(transport)
             set_faults(address, lose_answers=1)
-            error = await catch(table.transact(change_row("x", 0)))
+            error = await catch_error(table.transact(make_transaction("x", 0)))
             assert type(error) is Unconfirmed
             assert (await table.read_rows(["a"])).rows == (("a", "x", 1),)
 
@@ -164,33 +168,35 @@
         run_in_reactor(check, address)
 
 
-def test_rates_are_enforced():
+def test_exceeded_rate_limits_are_throttled():
     async def check(address: str):
         async with open_transport(address) as transport:
             table = TableClient(transport)
-            await table.transact(change_row(1, 0))
-            error = await catch(table.transact(change_row(2, 1)))
+            await table.transact(make_transaction(1, 0))
+            error = await catch_error(table.transact(make_transaction(2, 1)))
             assert isinstance(error, Throttled)
             assert error.retry_after_s > 1.0
             weights = WeightClient(transport)
             await weights.request_fetch("dossier")
-            assert isinstance(await catch(weights.request_fetch("dossier")), Throttled)
+            assert isinstance(
+                await catch_error(weights.request_fetch("dossier")), Throttled
+            )
 
     with run_platform("--writes-per-s", "0.01", "--weights-per-s", "0.01") as address:
         run_in_reactor(check, address)
 
 
-def test_resolved_write_learns_that_its_lost_answer_was_a_commit():
+def test_resolve_write_confirms_a_commit_whose_response_was_lost():
     async def check(address: str):
         async with open_transport(address) as transport:
             table = TableClient(transport)
             set_faults(address, lose_answers=1)
             result = await resolve_write(
                 table,
-                change_row("mine", 0),
+                make_transaction("mine", 0),
                 marker_key="a",
                 clock=reactor,
-                retry_policy=give_limit(),
+                retry_policy=make_retry_policy(),
             )
             assert result == WriteResult(1, confirmed_by_read=True)
 
@@ -198,19 +204,19 @@
         run_in_reactor(check, address)
 
 
-def test_resolved_write_reports_the_winner_of_a_race():
+def test_resolve_write_reports_the_row_of_a_conflicting_write():
     async def check(address: str):
         async with open_transport(address) as transport:
             table = TableClient(transport)
-            await table.transact(change_row("theirs", 0))
+            await table.transact(make_transaction("theirs", 0))
             set_faults(address, lose_answers=1)
-            error = await catch(
+            error = await catch_error(
                 resolve_write(
                     table,
-                    change_row("mine", 0),
+                    make_transaction("mine", 0),
                     marker_key="a",
                     clock=reactor,
-                    retry_policy=give_limit(),
+                    retry_policy=make_retry_policy(),
                 )
             )
             assert isinstance(error, Conflict)
@@ -220,21 +226,21 @@
         run_in_reactor(check, address)
 
 
-def test_resolved_write_waits_out_an_outage_or_tells_that_nothing_was_done():
+def test_resolve_write_retries_through_an_outage_until_its_deadline():
     async def write(table: TableClient, seconds: float) -> WriteResult:
         return await resolve_write(
             table,
-            change_row("mine", 0),
+            make_transaction("mine", 0),
             marker_key="a",
             clock=reactor,
-            retry_policy=give_limit(seconds),
+            retry_policy=make_retry_policy(seconds),
         )
 
     async def check(address: str):
         async with open_transport(address) as transport:
             table = TableClient(transport)
             set_faults(address, outage=True)
-            assert type(await catch(write(table, 0.5))) is Unavailable
+            assert type(await catch_error(write(table, 0.5))) is Unavailable
             reactor.callLater(0.5, reactor.callInThread, end_outage, address)
             assert (await write(table, 30.0)).version == 1
 
@@ -245,7 +251,7 @@
         run_in_reactor(check, address)
 
 
-def test_objects_are_kept_until_deleted():
+def test_objects_are_readable_until_deleted():
     async def check(address: str):
         async with open_transport(address) as transport:
             objects = ObjectClient(transport)
@@ -259,7 +265,7 @@
         run_in_reactor(check, address)
 
 
-def test_instance_list_lags_and_can_be_refused():
+def test_instance_list_lags_and_may_be_unavailable():
     entry = {"kind": "instance", "address": "127.0.0.1:1", "data_centre": "dc-a"}
 
     async def check(address: str):
@@ -273,7 +279,7 @@
             assert [item.name for item in listed.instances] == ["n1"]
             assert listed.backend_servers == ()
             set_faults(address, refuse_list=True)
-            assert type(await catch(client.read())) is Unavailable
+            assert type(await catch_error(client.read())) is Unavailable
 
     with run_platform() as address:
         run_in_reactor(check, address)
