--- a/packages/node/src/ebonyhaven_node/_candidates.py
+++ b/packages/node/src/ebonyhaven_node/_candidates.py
@@ -8,7 +8,7 @@
 
 from ebonyhaven_node._engines import EngineStream
 from ebonyhaven_node._events import Token
-from ebonyhaven_node._orphans import OrphanController
+from ebonyhaven_node._orphans import OrphanCanceller
 from ebonyhaven_node._runs import Run
 from ebonyhaven_node._scheduling import Slot
 from ebonyhaven_node._servers import BackendServer
@@ -37,7 +37,7 @@
     Parameters
     ----------
     run : Run
-    orphans : OrphanController
+    orphans : OrphanCanceller
         Cancels what is given up.
 
     Attributes
@@ -50,7 +50,7 @@
 
     __slots__ = ("_candidates", "_orphans", "_run", "primary", "primary_since")
 
-    def __init__(self, *, run: Run, orphans: OrphanController):
+    def __init__(self, *, run: Run, orphans: OrphanCanceller):
         self._run = run
         self._orphans = orphans
         self._candidates: list[Candidate] = []
@@ -128,7 +128,7 @@
         candidate : Candidate
         """
         run_id = self._run.request.run_id
-        self._orphans.add(candidate.stream.server, run_id, candidate.attempt)
+        self._orphans.cancel(candidate.stream.server, run_id, candidate.attempt)
 
     def select_fresh(self, tokens: Sequence[Token]) -> Sequence[Token]:
         """Leave out tokens that another stream has delivered already.
--- a/packages/node/src/ebonyhaven_node/_claim_records.py
+++ b/packages/node/src/ebonyhaven_node/_claim_records.py
@@ -9,7 +9,7 @@
 from ebonyhaven_store import Row
 
 
-def name_row(run_id: str) -> str:
+def format_claim_key(run_id: str) -> str:
     """Return the key of the row that holds a run's claim."""
     return f"claims/{run_id}"
 
--- a/packages/node/src/ebonyhaven_node/_claims.py
+++ b/packages/node/src/ebonyhaven_node/_claims.py
@@ -29,8 +29,8 @@
     Claim,
     ClaimTimeout,
     ClaimUnavailable,
+    format_claim_key,
     make_claim,
-    name_row,
 )
 from ebonyhaven_node._pauses import PauseDetector
 
@@ -58,7 +58,7 @@
     doubtful: bool = False
 
 
-class ClaimController:
+class ClaimStore:
     """Writes claims, several in one transaction.
 
     Parameters
@@ -149,7 +149,7 @@
             digest=digest,
             claimed_at_ms=int(time.time() * 1000),
         )
-        return await self._write(name_row(run_id), row, 0, deadline)
+        return await self._write(format_claim_key(run_id), row, 0, deadline)
 
     async def move(
         self, run_id: str, claim: Claim, *, server: str, deadline: float
@@ -176,7 +176,7 @@
         ClaimTimeout
         """
         row = build_continuation_claim(claim.row, claimant=self.claimant, server=server)
-        return await self._write(name_row(run_id), row, claim.version, deadline)
+        return await self._write(format_claim_key(run_id), row, claim.version, deadline)
 
     async def read(self, run_id: str, *, deadline: float) -> Claim | None:
         """Read a claim.
@@ -195,7 +195,7 @@
         ------
         ClaimTimeout
         """
-        key = name_row(run_id)
+        key = format_claim_key(run_id)
         while True:
             try:
                 found = (await self._table.read_rows([key])).find(key)
@@ -219,7 +219,7 @@
         run_id : str
         claim : Claim
         """
-        await self._delete(name_row(run_id), claim.version)
+        await self._delete(format_claim_key(run_id), claim.version)
 
     async def _delete(self, key: str, version: int) -> None:
         conditions = (Condition(key, version),)
@@ -316,7 +316,7 @@
         while True:
             await task.deferLater(self._reactor, PROBE_PERIOD_S)
             try:
-                await self._table.read_rows([name_row("probe")])
+                await self._table.read_rows([format_claim_key("probe")])
                 break
             except PlatformError:
                 continue
--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -22,7 +22,7 @@
 from twisted.web.server import Site
 
 from ebonyhaven_node._channels import ChannelMetrics, ChannelOptions, Channels
-from ebonyhaven_node._claims import ClaimController
+from ebonyhaven_node._claims import ClaimStore
 from ebonyhaven_node._configured import ConfigurationInForce
 from ebonyhaven_node._control_plane import ControlParts, start_control_plane
 from ebonyhaven_node._crash_reports import CrashReports
@@ -41,7 +41,7 @@
 from ebonyhaven_node._log_writer import DRAIN_INTERVAL_S, LogLosses
 from ebonyhaven_node._membership import MembershipController
 from ebonyhaven_node._metrics import RelayMetrics
-from ebonyhaven_node._orphans import OrphanController
+from ebonyhaven_node._orphans import OrphanCanceller
 from ebonyhaven_node._own_record import make_own_record
 from ebonyhaven_node._pauses import PauseDetector
 from ebonyhaven_node._policy_scheduling import PolicyScheduling
@@ -299,13 +299,13 @@
             engines=engines,
             servers=self._servers,
             scheduling=scheduling,
-            claims=ClaimController(
+            claims=ClaimStore(
                 table=table,
                 claimant=claimant,
                 pauses=self._start_pause_detector(),
                 reactor=self._reactor,
             ),
-            orphans=OrphanController(
+            orphans=OrphanCanceller(
                 engines=engines,
                 reactor=self._reactor,
                 rng=self._rng,
--- a/packages/node/src/ebonyhaven_node/_drivers.py
+++ b/packages/node/src/ebonyhaven_node/_drivers.py
@@ -265,7 +265,7 @@
 
     async def _continue_on(self, slot: Slot, length: int, deadline: float) -> bool:
         """Try one server; tell whether the matter is settled."""
-        if self._claim.needed and not await self._move_claim(slot, deadline):
+        if self._claim.is_required and not await self._move_claim(slot, deadline):
             return True
         if self._has_moved(length):
             slot.release()
@@ -320,7 +320,7 @@
 
     async def _restart(self, excluded: set[str], deadline: float) -> None:
         """Start again where no token has reached the caller."""
-        if self._claim.needed:
+        if self._claim.is_required:
             await self._opener.chase(self._candidates.primary)
             return
         self._candidates.drop_all(cancel=True)
--- a/packages/node/src/ebonyhaven_node/_orphans.py
+++ b/packages/node/src/ebonyhaven_node/_orphans.py
@@ -22,7 +22,7 @@
 MAX_ORPHANS = 2048
 
 
-class OrphanController:
+class OrphanCanceller:
     """Cancels attempts at engines, with retries.
 
     Parameters
--- a/packages/node/src/ebonyhaven_node/_run_claims.py
+++ b/packages/node/src/ebonyhaven_node/_run_claims.py
@@ -13,7 +13,7 @@
 )
 
 from ebonyhaven_node._claim_records import Claim, ClaimTimeout
-from ebonyhaven_node._claims import ClaimController
+from ebonyhaven_node._claims import ClaimStore
 from ebonyhaven_node._failures import make_failure
 from ebonyhaven_node._requests import GenerationRequest
 from ebonyhaven_node._run_parts import RETRY_AFTER_S
@@ -27,18 +27,18 @@
     Parameters
     ----------
     request : GenerationRequest
-    claims : ClaimController
+    claims : ClaimStore
     """
 
     __slots__ = ("_claim", "_claims", "_request")
 
-    def __init__(self, *, request: GenerationRequest, claims: ClaimController):
+    def __init__(self, *, request: GenerationRequest, claims: ClaimStore):
         self._request = request
         self._claims = claims
         self._claim: Claim | None = None
 
     @property
-    def needed(self) -> bool:
+    def is_required(self) -> bool:
         """Whether the request must be claimed."""
         return not self._request.repeatable
 
--- a/packages/node/src/ebonyhaven_node/_run_parts.py
+++ b/packages/node/src/ebonyhaven_node/_run_parts.py
@@ -7,11 +7,11 @@
 import attrs
 from twisted.internet.interfaces import IReactorTime
 
-from ebonyhaven_node._claims import ClaimController
+from ebonyhaven_node._claims import ClaimStore
 from ebonyhaven_node._crash_reports import CrashReports
 from ebonyhaven_node._engines import EngineClient
 from ebonyhaven_node._metrics import RelayMetrics
-from ebonyhaven_node._orphans import OrphanController
+from ebonyhaven_node._orphans import OrphanCanceller
 from ebonyhaven_node._scheduling import Scheduling
 from ebonyhaven_node._servers import BackendServers
 
@@ -48,8 +48,8 @@
     engines : EngineClient
     servers : BackendServers
     scheduling : Scheduling
-    claims : ClaimController
-    orphans : OrphanController
+    claims : ClaimStore
+    orphans : OrphanCanceller
     crashes : CrashReports
     metrics : RelayMetrics
     reactor : IReactorTime
@@ -61,8 +61,8 @@
     engines: EngineClient
     servers: BackendServers
     scheduling: Scheduling
-    claims: ClaimController
-    orphans: OrphanController
+    claims: ClaimStore
+    orphans: OrphanCanceller
     crashes: CrashReports
     metrics: RelayMetrics
     reactor: IReactorTime
--- a/packages/node/src/ebonyhaven_node/_stream_opener.py
+++ b/packages/node/src/ebonyhaven_node/_stream_opener.py
@@ -97,7 +97,7 @@
         excluded = set() if excluded is None else excluded
         retry = False
         while True:
-            if self._claim.needed:
+            if self._claim.is_required:
                 await self._claim.wait_available(deadline)
             slot = await self._acquire_start(
                 excluded, deadline, resume=resume, retry=retry
@@ -120,7 +120,7 @@
 
     async def _start_on(self, slot: Slot, deadline: float) -> bool:
         """Try one server; tell whether the run is under way."""
-        if self._claim.needed and not await self._claim_start(slot, deadline):
+        if self._claim.is_required and not await self._claim_start(slot, deadline):
             return True
         try:
             await self.open_stream(slot)
@@ -131,7 +131,7 @@
             return False
         except EngineLost:
             slot.release()
-            if self._claim.needed:
+            if self._claim.is_required:
                 await self.chase(slot.server)
                 return True
             return await self.settle_lost_attempt(slot.server)
@@ -335,7 +335,7 @@
         ----------
         server : BackendServer
         """
-        self._parts.orphans.add(server, self._run.request.run_id, self._attempt)
+        self._parts.orphans.cancel(server, self._run.request.run_id, self._attempt)
 
     def _make_body(self, slot: Slot, continue_from: list[str] | None) -> StartBody:
         request = self._run.request
--- a/tests/node/test_claims.py
+++ b/tests/node/test_claims.py
@@ -3,8 +3,8 @@
 import time
 
 from ebonyhaven_decisions import Claimant
-from ebonyhaven_node._claim_records import ClaimUnavailable, name_row
-from ebonyhaven_node._claims import ClaimController
+from ebonyhaven_node._claim_records import ClaimUnavailable, format_claim_key
+from ebonyhaven_node._claims import ClaimStore
 from ebonyhaven_node._pauses import PauseDetector
 from ebonyhaven_store import Conflict, Row, RowSet, Unavailable, Unconfirmed
 from twisted.internet.defer import ensureDeferred, fail, succeed
@@ -49,7 +49,7 @@
 
 
 def make_controller(table, clock, instance="n1"):
-    return ClaimController(
+    return ClaimStore(
         table=table,
         claimant=Claimant(instance=instance, incarnation=1),
         pauses=PauseDetector(clock),
@@ -86,7 +86,7 @@
     table.faults = ["lose"]
     claim = settle(clock, insert(make_controller(table, clock), "r"))
     assert claim.own
-    assert claim.version == table.find(name_row("r")).version
+    assert claim.version == table.find(format_claim_key("r")).version
 
 
 def test_claim_of_another_instance_is_returned_and_the_rest_is_written():
@@ -113,7 +113,7 @@
     controller = make_controller(table, clock)
     given_back = settle(clock, insert(controller, "r"))
     assert given_back.check(ClaimUnavailable)
-    assert table.find(name_row("r")).version == 0
+    assert table.find(format_claim_key("r")).version == 0
     waiting = ensureDeferred(controller.wait_available(time.monotonic() + 60.0))
     assert settle(clock, waiting) is None
     assert settle(clock, insert(controller, "r")).own
