--- a/packages/node/src/ebonyhaven_node/_claims.py
+++ b/packages/node/src/ebonyhaven_node/_claims.py
@@ -1,4 +1,4 @@
-"""Claims of requests that must not be repeated, written in groups."""
+"""Reads and writes the claims of requests that are not repeatable."""
 
 from __future__ import annotations
 
@@ -34,32 +34,51 @@
 )
 from ebonyhaven_node._pauses import PauseDetector
 
-GROUP_DELAY_S = 0.01
-MAX_GROUP = 64
-RETRY_DELAY_S = 0.1
+BATCH_DELAY_S = 0.01
+MAX_BATCH_ROWS = 64
+WRITE_RETRY_DELAY_S = 0.1
 READ_RETRY_DELAY_S = 0.2
-PROBE_PERIOD_S = 0.5
-ERASE_DELAY_S = 2.0
-ERASE_TRIES = 30
+PROBE_INTERVAL_S = 0.5
+CLEANUP_DELAY_S = 2.0
+MAX_CLEANUP_TRIES = 30
 
 _log = structlog.get_logger()
 
 
 @attrs.define(slots=True, kw_only=True, eq=False)
-class _Pending:
-    """One row waiting to be written."""
+class _PendingWrite:
+    """A row that is to be written.
+
+    Parameters
+    ----------
+    key : str
+    value : ClaimRow or None
+    version : int
+        Version that the row must have; 0 for an insert.
+    deadline : float
+        Monotonic time after which the write is given up, in seconds.
+    result : Deferred
+        Fires with the `Claim` that the row contains after the write.
+    sent_at : float or None
+        Monotonic time at which the write was first sent, in seconds.
+    is_unconfirmed : bool
+        Whether an earlier transaction may have written the row.
+    """
 
     key: str
     value: ClaimRow | None
     version: int
     deadline: float
-    settled: Deferred
+    result: Deferred
     sent_at: float | None = None
-    doubtful: bool = False
+    is_unconfirmed: bool = False
 
 
 class ClaimStore:
-    """Writes claims, several in one transaction.
+    """Reads and writes claims in the platform's table.
+
+    Writes are batched: those that arrive within `BATCH_DELAY_S`, or while a
+    transaction is in flight, share a transaction.
 
     Parameters
     ----------
@@ -67,7 +86,7 @@
     claimant : Claimant
         This process.
     pauses : PauseDetector
-        Tells when this process last woke from a pause.
+        Detects pauses of this process.
     reactor : IReactorTime
         Source of delayed calls.
     """
@@ -84,29 +103,29 @@
         self.claimant = claimant
         self.pauses = pauses
         self._reactor = reactor
-        self._pending: list[_Pending] = []
-        self._writing = False
-        self._available = True
-        self._waiting: list[Deferred] = []
+        self._pending: list[_PendingWrite] = []
+        self._is_writing = False
+        self._is_available = True
+        self._waiters: list[Deferred] = []
 
     async def wait_available(self, deadline: float) -> None:
-        """Wait until the table takes writes, as far as is known.
+        """Wait until the table is available, as far as this process knows.
 
         Parameters
         ----------
         deadline : float
-            Monotonic time after which to give up, seconds.
+            Monotonic time after which to give up, in seconds.
 
         Raises
         ------
         ClaimTimeout
         """
-        while not self._available:
+        while not self._is_available:
             remaining_s = deadline - time.monotonic()
             if remaining_s <= 0:
                 raise ClaimTimeout("the table was out")
             waiter = Deferred()
-            self._waiting.append(waiter)
+            self._waiters.append(waiter)
             waiter.addTimeout(remaining_s, self._reactor)
             waiter.addErrback(lambda failure: failure.trap(defer.TimeoutError))
             await waiter
@@ -120,14 +139,14 @@
         digest: str,
         deadline: float,
     ) -> Claim:
-        """Insert a claim, or return the one that stands already.
+        """Insert a claim, or return the existing one.
 
         Parameters
         ----------
         run_id, generation, server, digest : str
             Values of the row.
         deadline : float
-            Monotonic time after which to give up, seconds.
+            Monotonic time after which to give up, in seconds.
 
         Returns
         -------
@@ -136,9 +155,9 @@
         Raises
         ------
         ClaimTimeout
-            If the table did not settle it in time.
+            If the write was neither confirmed nor rejected by the deadline.
         ClaimUnavailable
-            If the table is out; nothing was written.
+            If the table is unavailable; nothing was written.
         """
         row = ClaimRow(
             owner=self.claimant.instance,
@@ -160,16 +179,16 @@
         ----------
         run_id : str
         claim : Claim
-            The claim as last seen.
+            The claim as last read or written.
         server : str
             Backend server that is to continue the run.
         deadline : float
-            Monotonic time after which to give up, seconds.
+            Monotonic time after which to give up, in seconds.
 
         Returns
         -------
         Claim
-            Not `own` if another instance was first.
+            Not `is_acquired` if another instance was first.
 
         Raises
         ------
@@ -185,7 +204,7 @@
         ----------
         run_id : str
         deadline : float
-            Monotonic time after which to give up, seconds.
+            Monotonic time after which to give up, in seconds.
 
         Returns
         -------
@@ -206,13 +225,13 @@
                 continue
             if found.value is None:
                 return None
-            return make_claim(found, own=False)
+            return make_claim(found, is_acquired=False)
 
     async def withdraw(self, run_id: str, claim: Claim) -> None:
-        """Delete an own claim for which nothing was dispatched.
+        """Delete a claim of this process for which nothing was dispatched.
 
-        Where the deletion fails, the row stays and a resubmission of the key is
-        told ``unknown``.
+        If the deletion fails, the row remains, and a resubmission with the same
+        idempotency key is answered with ``unknown``.
 
         Parameters
         ----------
@@ -232,137 +251,147 @@
     async def _write(
         self, key: str, row: ClaimRow, version: int, deadline: float
     ) -> Claim:
-        pending = _Pending(
+        write = _PendingWrite(
             key=key,
             value=row,
             version=version,
             deadline=deadline,
-            settled=Deferred(),
+            result=Deferred(),
         )
-        self._pending.append(pending)
-        if not self._writing:
-            self._writing = True
-            self._reactor.callLater(GROUP_DELAY_S, self._start_writing)
-        return await pending.settled
+        self._pending.append(write)
+        if not self._is_writing:
+            self._is_writing = True
+            self._reactor.callLater(BATCH_DELAY_S, self._start_writing)
+        return await write.result
 
     def _start_writing(self) -> None:
-        ensureDeferred(self._write_groups())
+        ensureDeferred(self._write_batches())
 
-    async def _write_groups(self) -> None:
+    async def _write_batches(self) -> None:
         while self._pending:
-            group = self._take_group()
-            retry_after_s = await self._write_group(group)
-            unsettled = [item for item in group if not item.settled.called]
-            self._pending[:0] = self._drop_expired(unsettled)
+            batch = self._take_batch()
+            retry_after_s = await self._write_batch(batch)
+            unresolved = [write for write in batch if not write.result.called]
+            self._pending[:0] = self._drop_expired(unresolved)
             if retry_after_s and self._pending:
                 await task.deferLater(self._reactor, retry_after_s)
-        self._writing = False
+        self._is_writing = False
 
-    def _take_group(self) -> list[_Pending]:
+    def _take_batch(self) -> list[_PendingWrite]:
+        """Remove and return pending writes that have different keys."""
         keys: set[str] = set()
-        group = []
-        for item in self._pending:
-            if item.key not in keys and len(group) < MAX_GROUP:
-                keys.add(item.key)
-                group.append(item)
-        self._pending = [item for item in self._pending if item not in group]
-        return group
-
-    async def _write_group(self, group: Sequence[_Pending]) -> float:
-        """Try one transaction; return the delay before the next, seconds."""
+        batch = []
+        for write in self._pending:
+            if write.key not in keys and len(batch) < MAX_BATCH_ROWS:
+                keys.add(write.key)
+                batch.append(write)
+        self._pending = [write for write in self._pending if write not in batch]
+        return batch
+
+    async def _write_batch(self, batch: Sequence[_PendingWrite]) -> float:
+        """Send one transaction; return the delay before the next one, in seconds."""
         now = time.monotonic()
-        for item in group:
-            if item.sent_at is None:
-                item.sent_at = now
+        for write in batch:
+            if write.sent_at is None:
+                write.sent_at = now
         transaction = Transaction(
             uuid.uuid4().hex,
-            tuple(Condition(item.key, item.version) for item in group),
-            tuple(Write(item.key, item.value) for item in group),
+            tuple(Condition(write.key, write.version) for write in batch),
+            tuple(Write(write.key, write.value) for write in batch),
         )
         try:
             version = await self._table.transact(transaction)
         except Conflict as conflict:
-            self._settle_conflict(group, conflict)
+            self._resolve_conflict(batch, conflict)
             return 0.0
         except Throttled as error:
             return error.retry_after_s
         except Unavailable as error:
-            self._note_unavailable()
-            self._settle_unwritten(group, error)
-            return RETRY_DELAY_S
+            self._mark_unavailable()
+            self._fail_unwritten(batch, error)
+            return WRITE_RETRY_DELAY_S
         except Unconfirmed:
-            self._note_unavailable()
-            for item in group:
-                item.doubtful = True
-            return RETRY_DELAY_S
-        for item in group:
-            self._settle(item, Row(item.key, item.value, version), own=True)
+            self._mark_unavailable()
+            for write in batch:
+                write.is_unconfirmed = True
+            return WRITE_RETRY_DELAY_S
+        for write in batch:
+            self._resolve(write, Row(write.key, write.value, version), is_acquired=True)
         return 0.0
 
-    def _settle_unwritten(self, group: Sequence[_Pending], error: Unavailable) -> None:
-        """Give inserts back that were certainly not written."""
-        for item in group:
-            if item.version == 0 and not item.doubtful:
-                item.settled.errback(ClaimUnavailable(error.reason))
-
-    def _note_unavailable(self) -> None:
-        if self._available:
-            self._available = False
+    def _fail_unwritten(
+        self, batch: Sequence[_PendingWrite], error: Unavailable
+    ) -> None:
+        """Fail the inserts that no transaction can have written."""
+        for write in batch:
+            if write.version == 0 and not write.is_unconfirmed:
+                write.result.errback(ClaimUnavailable(error.reason))
+
+    def _mark_unavailable(self) -> None:
+        if self._is_available:
+            self._is_available = False
             _log.info("claims_available", available=False)
             ensureDeferred(self._probe())
 
     async def _probe(self) -> None:
-        """Read a row until the table answers, then let requests go on."""
+        """Read a row until the table answers, then resume the waiting requests."""
         while True:
-            await task.deferLater(self._reactor, PROBE_PERIOD_S)
+            await task.deferLater(self._reactor, PROBE_INTERVAL_S)
             try:
                 await self._table.read_rows([format_claim_key("probe")])
                 break
             except PlatformError:
                 continue
-        self._available = True
+        self._is_available = True
         _log.info("claims_available", available=True)
-        waiting, self._waiting = self._waiting, []
-        for waiter in waiting:
+        waiters, self._waiters = self._waiters, []
+        for waiter in waiters:
             if not waiter.called:
                 waiter.callback(None)
 
-    def _settle_conflict(self, group: Sequence[_Pending], conflict: Conflict) -> None:
-        """Settle the rows that changed; the others are tried again."""
+    def _resolve_conflict(
+        self, batch: Sequence[_PendingWrite], conflict: Conflict
+    ) -> None:
+        """Resolve the writes whose rows have changed; the others are retried.
+
+        A changed row that has the written value was written by an earlier
+        transaction of this process whose confirmation was lost.
+        """
         changed = {row.key: row for row in conflict.rows}
-        for item in group:
-            row = changed.get(item.key)
+        for write in batch:
+            row = changed.get(write.key)
             if row is None:
                 continue
-            self._settle(item, row, own=row.value == item.value)
+            self._resolve(write, row, is_acquired=row.value == write.value)
 
-    def _settle(self, item: _Pending, row: Row, *, own: bool) -> None:
+    def _resolve(self, write: _PendingWrite, row: Row, *, is_acquired: bool) -> None:
         if row.value is None:
-            item.settled.errback(ClaimTimeout("the claim was withdrawn"))
+            write.result.errback(ClaimTimeout("the claim was withdrawn"))
             return
-        claim = make_claim(row, own=own, write_sent_at=item.sent_at)
-        item.settled.callback(claim)
+        claim = make_claim(row, is_acquired=is_acquired, write_sent_at=write.sent_at)
+        write.result.callback(claim)
 
-    def _drop_expired(self, items: Sequence[_Pending]) -> list[_Pending]:
+    def _drop_expired(self, writes: Sequence[_PendingWrite]) -> list[_PendingWrite]:
+        """Fail the writes whose deadline has passed and return the others."""
         now = time.monotonic()
         remaining = []
-        for item in items:
-            if now < item.deadline:
-                remaining.append(item)
+        for write in writes:
+            if now < write.deadline:
+                remaining.append(write)
             else:
-                item.settled.errback(ClaimTimeout("the table did not confirm in time"))
-                if item.version == 0 and item.sent_at is not None:
-                    ensureDeferred(self._erase(item))
+                write.result.errback(ClaimTimeout("the table did not confirm in time"))
+                if write.version == 0 and write.sent_at is not None:
+                    ensureDeferred(self._delete_expired(write))
         return remaining
 
-    async def _erase(self, item: _Pending) -> None:
-        """Delete a row whose write was given up but may still take effect."""
-        for _ in range(ERASE_TRIES):
-            await task.deferLater(self._reactor, ERASE_DELAY_S)
+    async def _delete_expired(self, write: _PendingWrite) -> None:
+        """Delete a row whose insert has expired but may still take effect."""
+        for _ in range(MAX_CLEANUP_TRIES):
+            await task.deferLater(self._reactor, CLEANUP_DELAY_S)
             try:
-                row = (await self._table.read_rows([item.key])).find(item.key)
+                row = (await self._table.read_rows([write.key])).find(write.key)
             except (Unavailable, Unconfirmed):
                 continue
-            if row.value == item.value:
-                await self._delete(item.key, row.version)
+            if row.value == write.value:
+                await self._delete(write.key, row.version)
             return
--- a/packages/node/src/ebonyhaven_node/_content_guard.py
+++ b/packages/node/src/ebonyhaven_node/_content_guard.py
@@ -1,4 +1,4 @@
-"""Stopping a run whose content crashes engines."""
+"""Stops runs whose content crashes engines."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from ebonyhaven_node._failures import make_failure
 from ebonyhaven_node._servers import BackendServer
 
-EVIDENCE_CHECK_S = 0.1
+EVIDENCE_POLL_INTERVAL_S = 0.1
 
 
 class ContentGuard:
-    """Evidence against the content of one run.
+    """Checks the content of one run against the evidence of engine crashes.
 
     Parameters
     ----------
@@ -32,37 +32,38 @@
         self._reactor = reactor
 
     def record_death(self, server: BackendServer, *, progress_tokens: int) -> None:
-        """Record the death of an engine that had the run.
+        """Record the death of an engine that was executing the run.
 
         Parameters
         ----------
         server : BackendServer
         progress_tokens : int
-            Tokens that the run had made there.
+            Tokens that the attempt had produced on it.
         """
         self._crashes.record_death(
             self._content, server=server, progress_tokens=progress_tokens
         )
 
     def is_suspect(self) -> bool:
-        """Tell whether an engine has died while it ran this content."""
+        """Return whether an engine has died while it was running this content."""
         return self._crashes.judge(self._content) is not CrashVerdict.CLEAR
 
     async def check(self, tag: OutcomeTag) -> None:
-        """Wait until the evidence is in, then raise if the content is stopped.
+        """Wait until the evidence is conclusive; raise if it stops the content.
 
         Parameters
         ----------
         tag : OutcomeTag
-            What is told in that case.
+            Tag of the outcome in that case.
 
         Raises
         ------
         RequestFailure
+            If the content must not run again.
         """
         verdict = self._crashes.judge(self._content)
         while verdict is CrashVerdict.UNDECIDED:
-            await task.deferLater(self._reactor, EVIDENCE_CHECK_S)
+            await task.deferLater(self._reactor, EVIDENCE_POLL_INTERVAL_S)
             verdict = self._crashes.judge(self._content)
         if verdict is CrashVerdict.STOPPED:
             reason = "backend servers crashed each time they ran this content"
--- a/packages/node/src/ebonyhaven_node/_crash_reports.py
+++ b/packages/node/src/ebonyhaven_node/_crash_reports.py
@@ -1,4 +1,4 @@
-"""Evidence against request contents, shared between instances."""
+"""Evidence of contents that crash engines, shared between instances by gossip."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ebonyhaven_node._digests import Digest, TableDigest
 
 DIGEST_CODE = "x"
-PROCESS_DIGITS = 8
+PROCESS_ID_CHARS = 8
 
 
 class ServerProcess(Protocol):
@@ -28,7 +28,7 @@
     ----------
     name : str
     identity : str
-        Differs after a restart.
+        Changes when the backend server restarts.
     """
 
     @property
@@ -39,7 +39,7 @@
 
 
 class CrashReports:
-    """Records engine deaths by request content and tells other instances.
+    """Records engine deaths by request content and reports them to other instances.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
         progress_tokens : int
             Tokens that the attempt had produced on it.
         """
-        process = _name_process(server)
+        process = _format_process_id(server)
         now = time.monotonic()
         self._ledger.record_death(
             content, server=process, progress_tokens=progress_tokens, now=now
@@ -73,7 +73,7 @@
         entry = GossipEntry(
             f"{content}{process}",
             int(time.time()),
-            evidence.is_strong + evidence.is_tokenless,
+            evidence.is_strong + evidence.is_tokenless,  # tokenless implies strong
         )
         self._table.merge(entry, now)
 
@@ -83,6 +83,7 @@
         Parameters
         ----------
         content : str
+            Digest of the request content.
 
         Returns
         -------
@@ -91,16 +92,16 @@
         return self._ledger.judge(content, now=time.monotonic())
 
     def make_digest(self) -> Digest:
-        """Return the digest that passes the evidence on."""
+        """Return the gossip digest of the evidence."""
         return TableDigest(
             code=DIGEST_CODE,
             table=self._table,
             clock=time.monotonic,
-            on_merge=self._receive,
+            on_merge=self._merge_entry,
         )
 
-    def _receive(self, entry: GossipEntry) -> None:
-        content, process = entry.key[:-PROCESS_DIGITS], entry.key[-PROCESS_DIGITS:]
+    def _merge_entry(self, entry: GossipEntry) -> None:
+        content, process = entry.key[:-PROCESS_ID_CHARS], entry.key[-PROCESS_ID_CHARS:]
         age_s = max(0.0, time.time() - entry.version)
         evidence = CrashEvidence(
             process, age_s, is_strong=entry.value > 0, is_tokenless=entry.value > 1
@@ -108,7 +109,7 @@
         self._ledger.merge([(content, evidence)], now=time.monotonic())
 
 
-def _name_process(server: ServerProcess) -> str:
-    """Return a short name that differs for a replaced process."""
+def _format_process_id(server: ServerProcess) -> str:
+    """Return a short identifier that changes when the process is replaced."""
     identity = f"{server.name}/{server.identity}".encode()
-    return hashlib.sha256(identity).hexdigest()[:PROCESS_DIGITS]
+    return hashlib.sha256(identity).hexdigest()[:PROCESS_ID_CHARS]
--- a/packages/node/src/ebonyhaven_node/_events.py
+++ b/packages/node/src/ebonyhaven_node/_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events of a generation: reading engines', writing callers'."""
+"""Parses the event streams of engines and encodes those for callers."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 from ebonyhaven_decisions import OFFSET_BEFORE_FIRST_TOKEN, EventId, Outcome
 
-KEEP_ALIVE = b": keep-alive\n\n"
-DONE = b"data: [DONE]\n\n"
+KEEP_ALIVE_COMMENT = b": keep-alive\n\n"
+DONE_EVENT = b"data: [DONE]\n\n"
 MAX_EVENT_BYTES = 64 * 1024
 _SEPARATOR = b"\n\n"
-# An event without spaces and escapes, as most are, is read without a JSON parser.
-_COMPACT_TEXT = b'"choices":[{"index":0,"text":"'
-_COMPACT_END = b'","finish_reason":null}]}'
+# Most events are compact JSON without escapes; these are parsed without `json`.
+_COMPACT_TEXT_PREFIX = b'"choices":[{"index":0,"text":"'
+_COMPACT_TEXT_SUFFIX = b'","finish_reason":null}]}'
 
 
 class Token(NamedTuple):
-    """One event of an engine.
+    """A token event of an engine, or the event that ends the generation.
 
     Parameters
     ----------
     offset : int
-        Number of the token, counted from 0; for the end, the number of tokens.
+        Index of the token, from 0; in the end event, the number of tokens.
     text : str
-        Text of the token; empty at the end.
+        Text of the token; empty in the end event.
     finish_reason : str or None
-        Set on the event that ends the generation.
+        Reason for the end; None except in the end event.
     """
 
     offset: int
@@ -35,10 +35,14 @@
 
 
 class EventParser:
-    """Splits an engine's event stream into tokens.
+    """Incremental parser of an engine's event stream.
 
-    Bytes are passed in as they arrive; an event that is not complete yet is
-    kept until the rest arrives.
+    An incomplete event is buffered until its remaining bytes arrive.
+
+    Attributes
+    ----------
+    done : bool
+        Whether the ``[DONE]`` event has been parsed.
     """
 
     __slots__ = ("_buffer", "done")
@@ -48,7 +52,7 @@
         self.done = False
 
     def feed(self, data: bytes) -> list[Token]:
-        """Take in bytes and return the tokens that are complete.
+        """Parse received bytes and return the tokens whose events are complete.
 
         Parameters
         ----------
@@ -66,7 +70,7 @@
         blocks = (self._buffer + data).split(_SEPARATOR)
         self._buffer = blocks.pop()
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise ValueError("event of an engine is too long")
+            raise ValueError("engine event exceeds the maximum length")
         tokens = []
         for block in blocks:
             token = self._parse_block(block)
@@ -82,32 +86,33 @@
         if not head.startswith(b"id: "):
             return None
         offset = int(head[4:])
-        if rest.endswith(_COMPACT_END):
-            _, _, literal = rest[: -len(_COMPACT_END)].partition(_COMPACT_TEXT)
+        if rest.endswith(_COMPACT_TEXT_SUFFIX):
+            _, _, literal = rest[: -len(_COMPACT_TEXT_SUFFIX)].partition(
+                _COMPACT_TEXT_PREFIX
+            )
             if literal and b"\\" not in literal:
                 return Token(offset, literal.decode(), None)
         choice = json.loads(rest.removeprefix(b"data: "))["choices"][0]
         return Token(offset, choice["text"], choice["finish_reason"])
 
 
-class EventWriter:
-    """Writes the events of one run for callers.
+class EventEncoder:
+    """Encodes the events of one run for callers.
 
     Parameters
     ----------
     run_id : str
-        Identity of the run.
     """
 
-    __slots__ = ("_prefix",)
+    __slots__ = ("_data_prefix",)
 
     def __init__(self, run_id: str) -> None:
-        self._prefix = (
+        self._data_prefix = (
             f'data: {{"id":"cmpl-{run_id}","object":"text_completion",'
             '"choices":[{"index":0,"text":'
         )
 
-    def write_tokens(
+    def encode_tokens(
         self, texts: list[str], *, offset: int, generation: str, server: str
     ) -> bytes:
         """Return the events of consecutive tokens.
@@ -115,32 +120,33 @@
         Parameters
         ----------
         texts : list of str
-            One text a token.
+            Text of each token.
         offset : int
-            Offset of the first of them.
+            Offset of the first token.
         generation, server : str
-            Rest of the event ids.
+            Generation and backend server in the event ids.
 
         Returns
         -------
         bytes
         """
-        tail = f"-{generation}-{server}\n{self._prefix}"
+        tail = f"-{generation}-{server}\n{self._data_prefix}"
         encode = json.dumps
         return "".join(
             f'id: {number}{tail}{encode(text)},"finish_reason":null}}]}}\n\n'
             for number, text in enumerate(texts, offset)
         ).encode()
 
-    def write_acceptance(self, *, generation: str, server: str) -> bytes:
-        """Return the event that tells the position before the first token.
+    def encode_acceptance(self, *, generation: str, server: str) -> bytes:
+        """Return the event that reports the position before the first token.
 
-        It holds an id and no data, so clients remember it and show nothing.
+        It has an id but no data, so that clients store the id and dispatch no
+        event.
 
         Parameters
         ----------
         generation, server : str
-            Parts of the event id.
+            Generation and backend server in the event id.
 
         Returns
         -------
@@ -150,7 +156,7 @@
             f"id: {EventId(OFFSET_BEFORE_FIRST_TOKEN, generation, server)}\n\n".encode()
         )
 
-    def write_end(
+    def encode_end(
         self, *, offset: int, generation: str, server: str, finish_reason: str
     ) -> bytes:
         """Return the events that end a generation.
@@ -160,23 +166,23 @@
         offset : int
             Number of tokens of the generation.
         generation, server : str
-            Rest of the event id.
+            Generation and backend server in the event id.
         finish_reason : str
-            Why the engine ended.
+            Reason for the end, as given by the engine.
 
         Returns
         -------
         bytes
         """
         end = (
-            f"id: {offset}-{generation}-{server}\n{self._prefix}"
+            f"id: {offset}-{generation}-{server}\n{self._data_prefix}"
             f'"","finish_reason":{json.dumps(finish_reason)}}}]}}\n\n'
         )
-        return end.encode() + DONE
+        return end.encode() + DONE_EVENT
 
 
-def describe_outcome(outcome: Outcome) -> dict[str, Any]:
-    """Return the body that tells a caller of an outcome.
+def build_error_body(outcome: Outcome) -> dict[str, Any]:
+    """Return the JSON body that reports an outcome to a caller.
 
     Parameters
     ----------
@@ -197,8 +203,8 @@
     return {"error": error}
 
 
-def write_error(outcome: Outcome) -> bytes:
-    """Return the event that ends a stream with an outcome.
+def encode_error(outcome: Outcome) -> bytes:
+    """Return the error event that ends a stream.
 
     Parameters
     ----------
@@ -208,5 +214,5 @@
     -------
     bytes
     """
-    data = json.dumps(describe_outcome(outcome))
+    data = json.dumps(build_error_body(outcome))
     return f"event: error\ndata: {data}\n\n".encode()
--- a/packages/node/src/ebonyhaven_node/_exchanges.py
+++ b/packages/node/src/ebonyhaven_node/_exchanges.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through the filters."""
+"""Context of a request that is passed through the filter chain."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 @attrs.define(slots=True, kw_only=True, eq=False)
 class Exchange:
-    """A request for a generation while it is handled.
+    """A generation request that is being handled.
 
     Parameters
     ----------
     http_request : Request
     body : dict
-        Decoded body.
+        Decoded JSON body.
     workspace : str
         Set by identification.
     declaration : Declaration or None
-        The configuration under which the request is handled, from start to end.
+        Configuration that applies to the request during its entire handling.
     request_class : RequestClass or None
         Set by validation.
     request : GenerationRequest or None
         Set by validation.
     run : Run or None
-        Set once the request has a run.
+        Set when the request is attached to its run.
     """
 
     http_request: Request
@@ -42,7 +42,7 @@
     run: Run | None = None
 
     def read_header(self, name: str) -> str | None:
-        """Return a header's value, or None.
+        """Return the value of a request header, or None if it is absent.
 
         Parameters
         ----------
--- a/packages/node/src/ebonyhaven_node/_guarded_body.py
+++ b/packages/node/src/ebonyhaven_node/_guarded_body.py
@@ -1,4 +1,4 @@
-"""Request body that is only written while a condition holds."""
+"""Request body that is written only if a condition holds."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class GuardError(Exception):
-    """The condition did not hold when the body was about to be written."""
+    """Raised when the condition did not hold before the body was written."""
 
 
 @implementer(IBodyProducer)
 class GuardedBody:
-    """Checks a condition once the connection stands, right before writing.
+    """Checks a condition after the connection is established, before writing.
 
-    A request whose body is withheld is incomplete, so the server discards it.
+    A request without its body is incomplete, so the server discards it.
 
     Parameters
     ----------
     content : bytes
         The body.
     guard : callable
-        Returns whether it may be written.
+        Returns whether the body may be written.
     """
 
     def __init__(self, content: bytes, guard: Callable[[], bool]):
@@ -40,11 +40,11 @@
         consumer.write(self._content)
         return succeed(None)
 
-    def pauseProducing(self) -> None:  # noqa: N802 the name Twisted calls
-        """Do nothing; the body is written at once."""
+    def pauseProducing(self) -> None:  # noqa: N802 name given by Twisted
+        """Do nothing; the body is written in a single call."""
 
-    def resumeProducing(self) -> None:  # noqa: N802 the same
-        """Do nothing; the body is written at once."""
+    def resumeProducing(self) -> None:  # noqa: N802 name given by Twisted
+        """Do nothing; the body is written in a single call."""
 
-    def stopProducing(self) -> None:  # noqa: N802 the same
-        """Do nothing; the body is written at once."""
+    def stopProducing(self) -> None:  # noqa: N802 name given by Twisted
+        """Do nothing; the body is written in a single call."""
--- a/packages/node/src/ebonyhaven_node/_orphans.py
+++ b/packages/node/src/ebonyhaven_node/_orphans.py
@@ -1,4 +1,4 @@
-"""Cancelling attempts that were given up, as soon as they can be reached."""
+"""Cancels abandoned attempts at engines, with retries."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
 from ebonyhaven_node.exceptions import EngineLost, EngineRefusal
 
 CANCEL_TIMEOUT_S = 0.5
-SETTLE_DELAY_S = 0.05  # lets the engine see that our own stream has closed
-FIRST_DELAY_S = 0.1
-LONGEST_DELAY_S = 5.0
+# Lets the engine detect that the stream of the attempt has been closed.
+STREAM_CLOSE_DELAY_S = 0.05
+INITIAL_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 5.0
 MAX_TRIES = 20
-MAX_TRIES_ATTENDED = 3
-MAX_ORPHANS = 2048
+MAX_ATTENDED_TRIES = 3  # while a connection is attached to the run
+MAX_PENDING_CANCELLATIONS = 2048
 
 
 class OrphanCanceller:
-    """Cancels attempts at engines, with retries.
+    """Cancels abandoned attempts as soon as their engines are reachable.
+
+    An attempt is not cancelled while a connection is attached to its run.
 
     Parameters
     ----------
@@ -45,7 +48,7 @@
         self._engines = engines
         self._reactor = reactor
         self._rng = rng
-        self._open = 0
+        self._pending_count = 0
         self._cancelled = Counter(
             "ebonyhaven_orphans",
             "Attempts given up, by how their cancellation ended.",
@@ -53,7 +56,7 @@
             registry=registry,
         )
 
-    def add(self, server: BackendServer, run_id: str, attempt: int) -> None:
+    def cancel(self, server: BackendServer, run_id: str, attempt: int) -> None:
         """Cancel an attempt in the background.
 
         Parameters
@@ -61,26 +64,29 @@
         server : BackendServer
         run_id : str
         attempt : int
+            Number of the attempt.
         """
-        if self._open >= MAX_ORPHANS:
+        if self._pending_count >= MAX_PENDING_CANCELLATIONS:
             self._cancelled.labels("not_tried").inc()
             return
-        self._open += 1
-        ensureDeferred(self._cancel(server, run_id, attempt))
+        self._pending_count += 1
+        ensureDeferred(self._cancel_with_retries(server, run_id, attempt))
 
-    async def _cancel(self, server: BackendServer, run_id: str, attempt: int) -> None:
-        delay_s = FIRST_DELAY_S
+    async def _cancel_with_retries(
+        self, server: BackendServer, run_id: str, attempt: int
+    ) -> None:
+        delay_s = INITIAL_RETRY_DELAY_S
         result = "unreachable"
-        tries_attended = 0
-        await task.deferLater(self._reactor, SETTLE_DELAY_S)
+        attended_tries = 0
+        await task.deferLater(self._reactor, STREAM_CLOSE_DELAY_S)
         for _ in range(MAX_TRIES):
             try:
                 cancelled = await self._engines.cancel(
                     server, run_id, attempt=attempt, timeout_s=CANCEL_TIMEOUT_S
                 )
                 result = "cancelled" if cancelled else "attended"
-                tries_attended += 1
-                if cancelled or tries_attended == MAX_TRIES_ATTENDED:
+                attended_tries += 1
+                if cancelled or attended_tries == MAX_ATTENDED_TRIES:
                     break
             except EngineRefusal as refusal:
                 if refusal.reason == CONNECTION_REFUSED:
@@ -88,6 +94,6 @@
             except EngineLost:
                 pass
             await task.deferLater(self._reactor, delay_s * self._rng.uniform(0.5, 1))
-            delay_s = min(LONGEST_DELAY_S, 2 * delay_s)
-        self._open -= 1
+            delay_s = min(MAX_RETRY_DELAY_S, 2 * delay_s)
+        self._pending_count -= 1
         self._cancelled.labels(result).inc()
--- a/packages/node/src/ebonyhaven_node/_run_claims.py
+++ b/packages/node/src/ebonyhaven_node/_run_claims.py
@@ -1,4 +1,4 @@
-"""The claim of one run, for requests that must not be repeated."""
+"""The claim of one run."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RunClaim:
-    """Claim of one run; does nothing for a request that may be repeated.
+    """Claim of one run, needed only if the request is not repeatable.
 
     Parameters
     ----------
@@ -39,64 +39,66 @@
 
     @property
     def is_required(self) -> bool:
-        """Whether the request must be claimed."""
+        """Whether the request must be claimed before it is dispatched."""
         return not self._request.repeatable
 
     @property
     def fence(self) -> int:
-        """Fence number of the attempts under this claim."""
+        """Fencing number of the attempts under this claim."""
         return FIRST_EPOCH if self._claim is None else self._claim.row["epoch"]
 
     @property
     def server(self) -> str:
-        """Name of the backend server in the claim."""
+        """Name of the backend server in the claim; empty without a claim."""
         return "" if self._claim is None else self._claim.row["server"]
 
     @property
     def generation(self) -> str:
-        """Generation in the claim."""
+        """Generation in the claim; empty without a claim."""
         return "" if self._claim is None else self._claim.row["generation"]
 
     async def wait_available(self, deadline: float) -> None:
-        """Wait until a claim can be written.
+        """Wait until the table of claims is available.
 
         Parameters
         ----------
         deadline : float
-            Monotonic time after which to give up, seconds.
+            Monotonic time after which to give up, in seconds.
 
         Raises
         ------
         RequestFailure
-            Nothing was dispatched and nothing will be.
+            With ``not_run``, if the deadline passes.
         """
         try:
             await self._claims.wait_available(deadline)
         except ClaimTimeout as error:
-            raise _describe_unrecorded(error) from error
+            raise _make_not_recorded_failure(error) from error
 
     async def insert(self, *, generation: str, server: str, deadline: float) -> bool:
-        """Claim the fresh start.
+        """Claim the first dispatch of the run.
 
         Parameters
         ----------
-        generation, server : str
-            What is about to be dispatched, and where.
+        generation : str
+            Generation to dispatch.
+        server : str
+            Backend server to dispatch to.
         deadline : float
-            Monotonic time after which to give up, seconds.
+            Monotonic time after which to give up, in seconds.
 
         Returns
         -------
         bool
-            Whether to dispatch, at once; otherwise the run of the claim that
-            stands is to be attached to.
+            True if the run must be dispatched immediately; False if the run of the
+            existing claim is to be attached to.
 
         Raises
         ------
         RequestFailure
-            Nothing was dispatched and nothing will be.
+            With ``not_run``; the run must not be dispatched.
         ClaimUnavailable
-            The table is out; the claim may be tried again later.
+            If the table is unavailable; the insert may be retried later.
         """
         try:
             self._claim = await self._claims.insert(
@@ -107,43 +109,47 @@
                 deadline=deadline,
             )
         except ClaimTimeout as error:
-            raise _describe_unrecorded(error) from error
-        verdict = evaluate_claim(
+            raise _make_not_recorded_failure(error) from error
+        decision = evaluate_claim(
             self._claim.row,
             claimant=self._claims.claimant,
             digest=self._request.digest,
-            inserted_by_submission=self._claim.own,
+            inserted_by_submission=self._claim.is_acquired,
         )
-        if verdict is ClaimDecision.DIGEST_MISMATCH:
+        if decision is ClaimDecision.DIGEST_MISMATCH:
             reason = "the idempotency key was used with a different body"
             raise make_failure(OutcomeTag.NOT_RUN, "deduplicate", reason, status=409)
-        if verdict is ClaimDecision.ATTACH:
+        if decision is ClaimDecision.ATTACH:
             return False
-        await self._confirm(self._claim, deadline)
+        await self._ensure_may_dispatch(self._claim, deadline)
         return True
 
     async def move(self, *, server: str, deadline: float) -> bool:
-        """Take the claim along to another server for a continuation.
+        """Move the claim to another backend server for a continuation.
 
         Parameters
         ----------
         server : str
+            Backend server that is to continue the run.
         deadline : float
-            Monotonic time after which to give up, seconds.
+            Monotonic time after which to give up, in seconds.
 
         Returns
         -------
         bool
-            False if another instance was first; its run is to be attached to.
+            False if another instance moved the claim first; its run is to be
+            attached to.
 
         Raises
         ------
         RequestFailure
+            With ``unknown``, if the table does not confirm in time or the claim
+            does not exist.
         """
         try:
             self._claim = await self._claims.move(
                 self._request.run_id,
-                await self._read(deadline),
+                await self._read_claim(deadline),
                 server=server,
                 deadline=deadline,
             )
@@ -155,15 +161,19 @@
                 peer="platform",
                 retry_after_s=RETRY_AFTER_S,
             ) from error
-        return self._claim.own
+        return self._claim.is_acquired
 
     async def withdraw(self) -> None:
-        """Give the claim back after the proof that nothing ran."""
+        """Delete the claim, if there is one.
+
+        Call this only if it is certain that nothing ran.
+        """
         claim, self._claim = self._claim, None
         if claim is not None:
             await self._claims.withdraw(self._request.run_id, claim)
 
-    async def _confirm(self, claim: Claim, deadline: float) -> None:
+    async def _ensure_may_dispatch(self, claim: Claim, deadline: float) -> None:
+        """Withdraw the claim and raise `RequestFailure` if it is too old."""
         if may_dispatch(
             write_sent_at=claim.write_sent_at,
             deadline=deadline,
@@ -179,7 +189,7 @@
             retry_after_s=RETRY_AFTER_S,
         )
 
-    async def _read(self, deadline: float) -> Claim:
+    async def _read_claim(self, deadline: float) -> Claim:
         if self._claim is not None:
             return self._claim
         claim = await self._claims.read(self._request.run_id, deadline=deadline)
@@ -190,7 +200,7 @@
         return claim
 
 
-def _describe_unrecorded(error: ClaimTimeout) -> RequestFailure:
+def _make_not_recorded_failure(error: ClaimTimeout) -> RequestFailure:
     return make_failure(
         OutcomeTag.NOT_RUN,
         "claim",
--- a/tests/node/test_claims.py
+++ b/tests/node/test_claims.py
@@ -14,7 +14,7 @@
 
 
 class FakeTable:
-    """Applies transactions at once; each queued fault meets one of them."""
+    """Applies transactions immediately; each queued fault affects one of them."""
 
     def __init__(self):
         self.rows = {}
@@ -25,7 +25,7 @@
     def transact(self, transaction):
         self.transactions.append(transaction)
         fault = self.faults.pop(0) if self.faults else None
-        if fault == "out":
+        if fault == "unavailable":
             return fail(Unavailable(**FAULT))
         changed = tuple(
             self.find(condition.key)
@@ -37,7 +37,7 @@
         self.version += 1
         for write in transaction.writes:
             self.rows[write.key] = Row(write.key, write.value, self.version)
-        if fault == "lose":
+        if fault == "unconfirmed":
             return fail(Unconfirmed(**FAULT))
         return succeed(self.version)
 
@@ -48,7 +48,7 @@
         return self.rows.get(key, Row(key, None, 0))
 
 
-def make_controller(table, clock, instance="n1"):
+def make_store(table, clock, instance="n1"):
     return ClaimStore(
         table=table,
         claimant=Claimant(instance=instance, incarnation=1),
@@ -57,77 +57,79 @@
     )
 
 
-def insert(controller, run_id, generation="g"):
+def insert(store, run_id, generation="g"):
     deadline = time.monotonic() + 60.0
-    claim = controller.insert(
+    claim = store.insert(
         run_id, generation=generation, server="s1", digest="d", deadline=deadline
     )
     return ensureDeferred(claim)
 
 
-def settle(clock, deferred):
+def wait_for_result(clock, deferred):
     results = []
     deferred.addBoth(results.append)
     clock.pump([0.05] * 100)
     return results[0]
 
 
-def test_claims_that_arrive_together_share_a_transaction():
+def test_concurrent_claims_share_a_transaction():
     table, clock = FakeTable(), Clock()
-    controller = make_controller(table, clock)
-    claims = [insert(controller, f"r{number}") for number in range(20)]
+    store = make_store(table, clock)
+    claims = [insert(store, f"r{number}") for number in range(20)]
     clock.pump([0.05] * 5)
     assert len(table.transactions) == 1
-    assert all(settle(clock, claim).own for claim in claims)
+    assert all(wait_for_result(clock, claim).is_acquired for claim in claims)
 
 
-def test_lost_confirmation_is_settled_by_the_own_row():
+def test_lost_confirmation_is_resolved_by_the_written_row():
     table, clock = FakeTable(), Clock()
-    table.faults = ["lose"]
-    claim = settle(clock, insert(make_controller(table, clock), "r"))
-    assert claim.own
+    table.faults = ["unconfirmed"]
+    claim = wait_for_result(clock, insert(make_store(table, clock), "r"))
+    assert claim.is_acquired
     assert claim.version == table.find(format_claim_key("r")).version
 
 
-def test_claim_of_another_instance_is_returned_and_the_rest_is_written():
+def test_conflicting_claim_is_returned_and_other_claims_are_written():
     table, clock = FakeTable(), Clock()
-    first = settle(clock, insert(make_controller(table, clock, "n2"), "taken"))
-    controller = make_controller(table, clock)
-    taken, free = insert(controller, "taken"), insert(controller, "free")
-    assert settle(clock, free).own
-    found = settle(clock, taken)
-    assert not found.own
+    first = wait_for_result(clock, insert(make_store(table, clock, "n2"), "taken"))
+    store = make_store(table, clock)
+    taken, free = insert(store, "taken"), insert(store, "free")
+    assert wait_for_result(clock, free).is_acquired
+    found = wait_for_result(clock, taken)
+    assert not found.is_acquired
     assert found.row == first.row
 
 
-def test_same_instance_after_a_restart_does_not_take_its_old_claim_for_new():
+def test_restarted_instance_does_not_acquire_its_earlier_claim():
     table, clock = FakeTable(), Clock()
-    settle(clock, insert(make_controller(table, clock), "r", generation="old"))
-    claim = settle(clock, insert(make_controller(table, clock), "r", generation="new"))
-    assert not claim.own
+    wait_for_result(clock, insert(make_store(table, clock), "r", generation="old"))
+    claim = wait_for_result(
+        clock, insert(make_store(table, clock), "r", generation="new")
+    )
+    assert not claim.is_acquired
 
 
-def test_outage_gives_the_insert_back_and_the_wait_ends_with_it():
+def test_insert_fails_in_an_outage_and_the_wait_ends_after_it():
     table, clock = FakeTable(), Clock()
-    table.faults = ["out"]
-    controller = make_controller(table, clock)
-    given_back = settle(clock, insert(controller, "r"))
-    assert given_back.check(ClaimUnavailable)
+    table.faults = ["unavailable"]
+    store = make_store(table, clock)
+    failed_insert = wait_for_result(clock, insert(store, "r"))
+    assert failed_insert.check(ClaimUnavailable)
     assert table.find(format_claim_key("r")).version == 0
-    waiting = ensureDeferred(controller.wait_available(time.monotonic() + 60.0))
-    assert settle(clock, waiting) is None
-    assert settle(clock, insert(controller, "r")).own
+    waiting = ensureDeferred(store.wait_available(time.monotonic() + 60.0))
+    assert wait_for_result(clock, waiting) is None
+    assert wait_for_result(clock, insert(store, "r")).is_acquired
 
 
-def test_move_is_won_by_one_of_two_instances():
+def test_only_one_of_two_instances_moves_a_claim():
     table, clock = FakeTable(), Clock()
-    here, there = make_controller(table, clock), make_controller(table, clock, "n2")
-    claim = settle(clock, insert(here, "r"))
+    first_store, second_store = make_store(table, clock), make_store(table, clock, "n2")
+    claim = wait_for_result(clock, insert(first_store, "r"))
     deadline = time.monotonic() + 60.0
     moves = [
-        ensureDeferred(side.move("r", claim, server=server, deadline=deadline))
-        for side, server in ((here, "s2"), (there, "s3"))
+        ensureDeferred(store.move("r", claim, server=server, deadline=deadline))
+        for store, server in ((first_store, "s2"), (second_store, "s3"))
     ]
-    results = [settle(clock, move) for move in moves]
-    assert [result.own for result in results] == [True, False]
+    results = [wait_for_result(clock, move) for move in moves]
+    assert [result.is_acquired for result in results] == [True, False]
     assert results[1].row["server"] == "s2"
--- a/tests/node/test_crash_reports.py
+++ b/tests/node/test_crash_reports.py
@@ -16,20 +16,20 @@
     )
 
 
-def test_deaths_seen_by_two_instances_stop_a_content_on_both():
-    here, there = CrashReports(CrashLedger()), CrashReports(CrashLedger())
-    here.record_death(CONTENT, server=make_server("s1"), progress_tokens=0)
-    there.record_death(CONTENT, server=make_server("s2"), progress_tokens=0)
-    outgoing = here.make_digest().collect(HEARTBEAT_BYTES)
+def test_death_reported_by_another_instance_stops_a_content():
+    first, second = CrashReports(CrashLedger()), CrashReports(CrashLedger())
+    first.record_death(CONTENT, server=make_server("s1"), progress_tokens=0)
+    second.record_death(CONTENT, server=make_server("s2"), progress_tokens=0)
+    outgoing = first.make_digest().collect(HEARTBEAT_BYTES)
     assert outgoing
-    there.make_digest().merge("n1", json.loads(json.dumps(outgoing)))
-    assert there.judge(CONTENT) is CrashVerdict.STOPPED
-    assert here.judge(CONTENT) is CrashVerdict.SUSPECT
+    second.make_digest().merge("n1", json.loads(json.dumps(outgoing)))
+    assert second.judge(CONTENT) is CrashVerdict.STOPPED
+    assert first.judge(CONTENT) is CrashVerdict.SUSPECT
 
 
-def test_one_death_seen_by_two_instances_counts_once():
-    here, there = CrashReports(CrashLedger()), CrashReports(CrashLedger())
-    for reports in (here, there):
+def test_death_recorded_by_two_instances_counts_once():
+    first, second = CrashReports(CrashLedger()), CrashReports(CrashLedger())
+    for reports in (first, second):
         reports.record_death(CONTENT, server=make_server("s1"), progress_tokens=0)
-    there.make_digest().merge("n1", here.make_digest().collect(HEARTBEAT_BYTES))
-    assert there.judge(CONTENT) is CrashVerdict.SUSPECT
+    second.make_digest().merge("n1", first.make_digest().collect(HEARTBEAT_BYTES))
+    assert second.judge(CONTENT) is CrashVerdict.SUSPECT
--- a/tests/node/test_events.py
+++ b/tests/node/test_events.py
@@ -2,13 +2,13 @@
 
 import json
 
-from ebonyhaven_node._events import EventParser, EventWriter, Token
+from ebonyhaven_node._events import EventEncoder, EventParser, Token
 from hypothesis import given
 from hypothesis import strategies as st
 from nose2.tools import params
 
 
-def write_engine_event(offset, text, finish_reason=None, *, compact=True):
+def encode_engine_event(offset, text, finish_reason=None, *, compact=True):
     choice = {"index": 0, "text": text, "finish_reason": finish_reason}
     body = {"id": "cmpl-x", "object": "text_completion", "choices": [choice]}
     separators = (",", ":") if compact else None
@@ -18,15 +18,17 @@
 @given(
     texts=st.lists(st.text(), max_size=8),
     compact=st.booleans(),
-    cuts=st.lists(st.integers(0, 400), max_size=6),
+    splits=st.lists(st.integers(0, 400), max_size=6),
 )
-def test_tokens_survive_any_cut_of_the_stream(texts, compact, cuts):
+def test_tokens_are_parsed_from_any_split_of_the_stream(texts, compact, splits):
     stream = b"".join(
-        write_engine_event(offset, text, compact=compact)
+        encode_engine_event(offset, text, compact=compact)
         for offset, text in enumerate(texts)
     )
-    stream += write_engine_event(len(texts), "", "length") + b"data: [DONE]\n\n"
-    bounds = sorted({0, len(stream), *(cut for cut in cuts if cut < len(stream))})
+    stream += encode_engine_event(len(texts), "", "length") + b"data: [DONE]\n\n"
+    bounds = sorted(
+        {0, len(stream), *(split for split in splits if split < len(stream))}
+    )
     parser = EventParser()
     tokens = []
     for first, last in zip(bounds, bounds[1:], strict=False):
@@ -37,12 +39,12 @@
 
 
 @params('"', "\\", "\n", "\u2028", "]}", '","finish_reason":null}]}')
-def test_text_that_looks_like_syntax_is_kept(text):
-    assert EventParser().feed(write_engine_event(0, text)) == [Token(0, text, None)]
+def test_text_with_json_syntax_is_preserved(text):
+    assert EventParser().feed(encode_engine_event(0, text)) == [Token(0, text, None)]
 
 
 @params(b"id: x\ndata: {}\n\n", b"id: 1\ndata: nonsense\n\n")
-def test_malformed_event_is_refused(event):
+def test_malformed_event_is_rejected(event):
     try:
         EventParser().feed(event)
     except (ValueError, LookupError):
@@ -50,8 +52,8 @@
     raise AssertionError("the event was accepted")
 
 
-def test_written_events_carry_offset_generation_and_server():
-    events = EventWriter("r").write_tokens(
+def test_encoded_events_contain_offset_generation_and_server():
+    events = EventEncoder("r").encode_tokens(
         ["a", "b\n"], offset=7, generation="0" * 8, server="s1"
     )
     blocks = events.decode().split("\n\n")[:-1]
