--- a/packages/node/src/ebonyhaven_node/_configured.py
+++ b/packages/node/src/ebonyhaven_node/_active_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that is in force on this instance."""
+"""Active configuration of this instance."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from ebonyhaven_node._failures import refuse
 
-RETRY_AFTER_S = 1.0
+NO_CONFIGURATION_RETRY_S = 1.0
 
 
-class ConfigurationInForce:
-    """Holds the declaration in force; a version never goes back."""
+class ActiveConfiguration:
+    """Active declaration and its version, which only increases."""
 
     __slots__ = ("_observers", "declaration", "version")
 
@@ -22,11 +22,11 @@
         self._observers: list[Callable[[Declaration], None]] = []
 
     def observe(self, observer: Callable[[Declaration], None]) -> None:
-        """Call ``observer`` with each declaration that comes into force."""
+        """Call ``observer`` with each declaration that becomes active."""
         self._observers.append(observer)
 
     def replace(self, declaration: Declaration, version: int) -> bool:
-        """Put a declaration in force if it is newer.
+        """Activate a declaration if it is newer than the active one.
 
         Parameters
         ----------
@@ -36,7 +36,7 @@
         Returns
         -------
         bool
-            False if this version or a later one is in force.
+            False if this version or a later one is already active.
         """
         if version <= self.version:
             return False
@@ -47,17 +47,17 @@
         return True
 
     def require(self) -> Declaration:
-        """Return the declaration in force.
+        """Return the active declaration.
 
         Raises
         ------
         RequestFailure
-            ``not_run`` while no configuration is known yet.
+            ``not_run`` if no configuration has been received yet.
         """
         if self.declaration is not None:
             return self.declaration
         raise refuse(
             "this instance has no configuration yet",
             step="identify",
-            retry_after_s=RETRY_AFTER_S,
+            retry_after_s=NO_CONFIGURATION_RETRY_S,
         )
--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -21,9 +21,9 @@
 from twisted.internet.interfaces import IReactorCore
 from twisted.web.server import Site
 
+from ebonyhaven_node._active_configuration import ActiveConfiguration
 from ebonyhaven_node._channels import ChannelMetrics, ChannelOptions, Channels
 from ebonyhaven_node._claims import ClaimStore
-from ebonyhaven_node._configured import ConfigurationInForce
 from ebonyhaven_node._control_plane import ControlParts, start_control_plane
 from ebonyhaven_node._crash_reports import CrashReports
 from ebonyhaven_node._engines import EngineClient
@@ -35,7 +35,7 @@
     RelayFilter,
     ValidateFilter,
 )
-from ebonyhaven_node._leases import LeaseOwner
+from ebonyhaven_node._leases import LeaseIdentity
 from ebonyhaven_node._listing import ListingController
 from ebonyhaven_node._load_poller import LoadPoller
 from ebonyhaven_node._log_writer import DRAIN_INTERVAL_S, LogLosses
@@ -44,7 +44,7 @@
 from ebonyhaven_node._orphans import OrphanCanceller
 from ebonyhaven_node._own_record import make_own_record
 from ebonyhaven_node._pauses import PauseDetector
-from ebonyhaven_node._policy_scheduling import PolicyScheduling
+from ebonyhaven_node._policy_scheduling import PolicySlotScheduler
 from ebonyhaven_node._processor_load import ProcessorLoad
 from ebonyhaven_node._run_parts import DriverParts
 from ebonyhaven_node._runs import RunRegistry
@@ -79,7 +79,7 @@
         self._rng = random.Random(settings.seed or None)
         self._registry = CollectorRegistry()
         self._runs = RunRegistry()
-        self._configuration = ConfigurationInForce()
+        self._configuration = ActiveConfiguration()
         self._servers = BackendServers()
         self._own_load = ProcessorLoad()
         self._state = InstanceState(
@@ -194,7 +194,7 @@
         ensureDeferred(listing.run())
         self._pools = start_control_plane(
             ControlParts(
-                owner=LeaseOwner(self._state.instance, self._state.incarnation),
+                owner=LeaseIdentity(self._state.instance, self._state.incarnation),
                 transport=transport,
                 membership=self._membership,
                 channels=self._channels,
@@ -239,7 +239,7 @@
             registry=self._registry,
         )
 
-    def _build_scheduling(self) -> PolicyScheduling:
+    def _build_scheduling(self) -> PolicySlotScheduler:
         scheduler = build_scheduler(
             SchedulingAlgorithm(self._settings.scheduling),
             {},
@@ -247,24 +247,24 @@
             random_source=self._rng,
             now=time.monotonic(),
         )
-        scheduling = PolicyScheduling(
+        scheduling = PolicySlotScheduler(
             scheduler=scheduler,
             servers=self._servers,
             configuration=self._configuration,
             reactor=self._reactor,
-            read_own_load=self._own_load.read,
+            read_instance_load=self._own_load.read,
         )
         self._start_load_exchange(scheduling)
         return scheduling
 
-    def _start_load_exchange(self, scheduling: PolicyScheduling) -> None:
+    def _start_load_exchange(self, scheduling: PolicySlotScheduler) -> None:
         digests = SchedulingDigests(
             membership=self._membership,
             channels=self._channels,
             scheduler=scheduling.scheduler,
             reactor=self._reactor,
             rng=self._rng,
-            on_news=scheduling.pump,
+            on_news=scheduling.process_queue,
         )
         poller = LoadPoller(
             servers=self._servers,
@@ -287,7 +287,7 @@
         self,
         table: TableClient,
         metrics: RelayMetrics,
-        scheduling: PolicyScheduling,
+        scheduling: PolicySlotScheduler,
     ) -> DriverParts:
         engines = EngineClient(self._reactor)
         crashes = CrashReports(CrashLedger())
--- a/packages/node/src/ebonyhaven_node/_configuration.py
+++ b/packages/node/src/ebonyhaven_node/_configuration.py
@@ -1,10 +1,11 @@
-"""Controller that learns configurations from the table and from peers.
-
-A cheap read of changes tells most instances of a new version; an instance that
-has one lets its neighbours know with the next heartbeats, and they ask for the
-content. So a version spreads with the table down, and also to instances that
-cannot reach it. What may come into force is decided in
-``ebonyhaven_decisions``; this module only carries it out.
+"""Controller that reads configurations from the table and from peers.
+
+Each instance polls the table for changes; a poll without changes is cheap. An
+instance that activates a new version announces it in its next heartbeats, and
+instances with an older version request the content. Versions therefore also
+spread during an outage of the table and reach instances without a connection to
+it. ``ebonyhaven_decisions`` decides which version becomes active; this module
+does the input and output.
 """
 
 from __future__ import annotations
@@ -29,35 +30,36 @@
 from twisted.internet.defer import CancelledError, Deferred
 from twisted.internet.interfaces import IReactorTime
 
+from ebonyhaven_node._active_configuration import ActiveConfiguration
 from ebonyhaven_node._configuration_exchange import (
-    ConfigurationMessage,
     ConfigurationPeers,
+    ConfigurationResponse,
 )
 from ebonyhaven_node._configuration_metrics import ConfigurationMetrics
-from ebonyhaven_node._configured import ConfigurationInForce
 from ebonyhaven_node._controllers import start_controller
 
-SHORTEST_PERIOD_S = 1.0
-READS_PER_S = 100.0
-JITTER = 0.3
-ASK_PERIOD_S = 0.3
-ASK_BATCH = 8
+MIN_READ_PERIOD_S = 1.0
+CLUSTER_READS_PER_S = 100.0  # total of all listed instances
+PERIOD_JITTER_RATIO = 0.3
+REQUEST_PERIOD_S = 0.3
+REQUEST_BATCH_SIZE = 8
 
 _log = structlog.get_logger()
 
 
 class ConfigurationController:
-    """Keeps the newest accepted configuration in force.
+    """Keeps the newest accepted configuration active.
 
     Parameters
     ----------
     table : TableClient
-    configuration : ConfigurationInForce
-        What the rest of the node reads.
+    configuration : ActiveConfiguration
+        Updated with each new version.
     incarnation : int
         Incarnation of this instance.
     reactor : IReactorTime
     rng : random.Random
+        Source of the jitter and of the order in which peers are queried.
     metrics : ConfigurationMetrics
     """
 
@@ -65,7 +67,7 @@
         self,
         *,
         table: TableClient,
-        configuration: ConfigurationInForce,
+        configuration: ActiveConfiguration,
         incarnation: int,
         reactor: IReactorTime,
         rng: random.Random,
@@ -80,118 +82,126 @@
         self._peers: ConfigurationPeers | None = None
         self._table_version = 0
         self._table_failed = False
-        self._unasked: list[str] = []
-        self._refused_version = 0
+        self._unqueried_peers: list[str] = []
+        self._last_rejected_version = 0
         self._stopped = False
-        self._waits: dict[str, Deferred] = {}
+        self._timers: dict[str, Deferred] = {}
 
     @property
     def version(self) -> int:
-        """Version in force, 0 while starting."""
+        """Active version, 0 while starting."""
         return self._view.version
 
-    def connect(self, peers: ConfigurationPeers) -> None:
-        """Begin to exchange configurations with other instances.
+    def connect_peers(self, peers: ConfigurationPeers) -> None:
+        """Start exchanging configurations with other instances.
 
         Parameters
         ----------
         peers : ConfigurationPeers
         """
         self._peers = peers
-        asking = self._repeat("ask", self._ask_peers, self._ask_period)
-        start_controller("configuration of peers", asking)
+        requests = self._run_periodically(
+            "ask", self._query_peers, self._compute_request_period
+        )
+        start_controller("configuration of peers", requests)
 
     async def run(self) -> None:
-        """Read the table again and again until `stop` is called."""
-        await self._repeat("read", self._read_table, self._read_period)
+        """Poll the table until `stop` is called."""
+        await self._run_periodically(
+            "read", self._read_table, self._compute_read_period
+        )
 
     def stop(self) -> None:
-        """End all activity."""
+        """Stop polling the table and the peers."""
         self._stopped = True
-        for waiting in list(self._waits.values()):
-            waiting.cancel()
+        for timer in list(self._timers.values()):
+            timer.cancel()
 
     def receive_version(self, name: str, version: int) -> None:
-        """Take in the version that a neighbour's heartbeat tells.
+        """Process the version announced in a peer's heartbeat.
 
         Parameters
         ----------
         name : str
-            Name of the neighbour.
+            Name of the peer.
         version : int
-            Version in force there.
+            Active version on the peer.
         """
-        known = self._view.highest_version
+        known_version = self._view.highest_version
         report = PeerReport(name, version, version, None)
         self._observe_report(report)
-        if self._peers is not None and version > max(known, self.version):
-            self._ask(name)
+        if self._peers is not None and version > max(known_version, self.version):
+            self._send_request(name)
 
-    def receive_question(self, name: str, incarnation: int, held_version: int) -> None:
-        """Answer what is in force here.
+    def receive_request(
+        self, name: str, incarnation: int, content_version: int
+    ) -> None:
+        """Respond with the active version, and its content if it is newer.
 
         Parameters
         ----------
         name : str
-            Name of the instance that asks.
+            Name of the requesting instance.
         incarnation : int
-            What the answer must repeat.
-        held_version : int
-            Highest version whose content it has.
+            Incarnation of the requesting instance, returned in the response.
+        content_version : int
+            Highest version of which the requesting instance has the content.
         """
         if self._peers is None:
             return
         entry = self._view.entry
-        sent = entry if entry is not None and entry.version > held_version else None
-        message = ConfigurationMessage(
+        newer_entry = (
+            entry if entry is not None and entry.version > content_version else None
+        )
+        response = ConfigurationResponse(
             version=self.version,
             highest_version=self._view.highest_version,
-            answers=incarnation,
-            entry=sent,
+            request_incarnation=incarnation,
+            entry=newer_entry,
         )
-        self._peers.answer(name, message)
+        self._peers.send_response(name, response)
 
-    def receive_answer(self, name: str, message: ConfigurationMessage) -> None:
-        """Take in the answer to a question.
+    def receive_response(self, name: str, response: ConfigurationResponse) -> None:
+        """Process the response to a configuration request.
 
         Parameters
         ----------
         name : str
-            Name of the instance that answers.
-        message : ConfigurationMessage
+            Name of the responding instance.
+        response : ConfigurationResponse
         """
         report = PeerReport(
             name,
-            message.version,
-            message.highest_version,
-            message.entry,
-            message.answers,
+            response.version,
+            response.highest_version,
+            response.entry,
+            response.request_incarnation,
         )
         self._observe_report(report)
 
-    async def _repeat(
+    async def _run_periodically(
         self,
         name: str,
         function: Callable[[], object],
-        find_period: Callable[[], float],
+        compute_period: Callable[[], float],
     ) -> None:
         while not self._stopped:
             pending = function()
             if pending is not None:
                 await pending
-            period_s = find_period() * self._rng.uniform(1 - JITTER, 1)
-            self._waits[name] = task.deferLater(self._reactor, period_s)
+            period_s = compute_period() * self._rng.uniform(1 - PERIOD_JITTER_RATIO, 1)
+            self._timers[name] = task.deferLater(self._reactor, period_s)
             try:
-                await self._waits[name]
+                await self._timers[name]
             except CancelledError:
                 return
 
-    def _read_period(self) -> float:
-        listed = self._peers.count_listed() if self._peers is not None else 1
-        return max(SHORTEST_PERIOD_S, listed / READS_PER_S)
+    def _compute_read_period(self) -> float:
+        listed = self._peers.count_listed_instances() if self._peers is not None else 1
+        return max(MIN_READ_PERIOD_S, listed / CLUSTER_READS_PER_S)
 
-    def _ask_period(self) -> float:
-        return ASK_PERIOD_S
+    def _compute_request_period(self) -> float:
+        return REQUEST_PERIOD_S
 
     async def _read_table(self) -> None:
         try:
@@ -204,9 +214,9 @@
             return
         self._table_failed = False
         self._metrics.reads.labels("done").inc()
-        self._take_changes(changes)
+        self._process_changes(changes)
 
-    def _take_changes(self, changes: RowSet) -> None:
+    def _process_changes(self, changes: RowSet) -> None:
         row = changes.find(CURRENT_CONFIGURATION_KEY)
         if row.value is None:
             self._table_version = changes.version
@@ -214,37 +224,40 @@
         try:
             entry = parse_configuration_entry(row.value)
         except ValueError as error:
-            self._refuse(row.version, str(error))
+            self._log_rejection(row.version, str(error))
             return
         if not self._is_usable(entry):
             return
-        self._apply(observe_table(self._view, entry), "table")
-        if self.version >= entry.version:  # else the next read asks for it again
+        self._apply_view(observe_table(self._view, entry), "table")
+        if self.version >= entry.version:  # otherwise the next read returns it again
             self._table_version = changes.version
 
-    def _ask_peers(self) -> None:
+    def _query_peers(self) -> None:
         is_starting = self._view.entry is None and self._table_failed
         if not is_starting and not self._view.version_to_fetch:
-            self._unasked = []
+            self._unqueried_peers = []
             return
-        if not self._unasked:
-            self._unasked = self._peers.list_names()
-            self._rng.shuffle(self._unasked)
-        batch, self._unasked = self._unasked[:ASK_BATCH], self._unasked[ASK_BATCH:]
+        if not self._unqueried_peers:
+            self._unqueried_peers = self._peers.list_names()
+            self._rng.shuffle(self._unqueried_peers)
+        batch, self._unqueried_peers = (
+            self._unqueried_peers[:REQUEST_BATCH_SIZE],
+            self._unqueried_peers[REQUEST_BATCH_SIZE:],
+        )
         for name in batch:
-            self._ask(name)
+            self._send_request(name)
 
-    def _ask(self, name: str) -> None:
+    def _send_request(self, name: str) -> None:
         candidate = self._view.candidate
-        held_version = max(self.version, candidate.version if candidate else 0)
-        self._peers.ask(name, held_version, self._view.incarnation)
+        content_version = max(self.version, candidate.version if candidate else 0)
+        self._peers.send_request(name, content_version, self._view.incarnation)
 
     def _observe_report(self, report: PeerReport) -> None:
         if report.entry is not None and not self._is_usable(report.entry):
             report = report._replace(entry=None)
-        listed = self._peers.count_listed() if self._peers is not None else 0
+        listed = self._peers.count_listed_instances() if self._peers is not None else 0
         view = observe_peer(self._view, report, listed_instances=listed)
-        self._apply(view, "peer")
+        self._apply_view(view, "peer")
 
     def _is_usable(self, entry: ConfigurationEntry) -> bool:
         if entry.version <= self.version:
@@ -252,19 +265,19 @@
         try:
             parse_declaration(entry.declaration)
         except DeclarationError as error:
-            self._refuse(entry.version, str(error))
+            self._log_rejection(entry.version, str(error))
             return False
         return True
 
-    def _refuse(self, version: int, reason: str) -> None:
-        if version != self._refused_version:
-            self._refused_version = version
+    def _log_rejection(self, version: int, reason: str) -> None:
+        if version != self._last_rejected_version:
+            self._last_rejected_version = version
             _log.error("configuration_refused", version=version, error=reason)
 
-    def _apply(self, view: ConfigurationView, source: str) -> None:
-        before = self._view
+    def _apply_view(self, view: ConfigurationView, source: str) -> None:
+        previous = self._view
         self._view = view
-        if view.entry is None or view.version == before.version:
+        if view.entry is None or view.version == previous.version:
             return
         declaration = parse_declaration(view.entry.declaration)
         self._configuration.replace(declaration, view.version)
--- a/packages/node/src/ebonyhaven_node/_configuration_exchange.py
+++ b/packages/node/src/ebonyhaven_node/_configuration_exchange.py
@@ -1,4 +1,4 @@
-"""What instances tell each other about their configurations."""
+"""Messages that instances exchange about their configurations."""
 
 from __future__ import annotations
 
@@ -9,52 +9,60 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class ConfigurationMessage:
-    """What one instance tells another about its configuration.
+class ConfigurationResponse:
+    """Response to a configuration request.
 
     Parameters
     ----------
     version : int
-        Version in force at the sender, 0 while it is starting.
+        Active version of the sender, 0 while it is starting.
     highest_version : int
-        Highest version that it has heard of.
-    answers : int
-        Incarnation of the instance whose question this answers.
+        Highest version that the sender knows of.
+    request_incarnation : int
+        Incarnation of the requesting instance.
     entry : ConfigurationEntry or None
-        Content of ``version`` where the receiver lacks it.
+        Content of ``version``; None while the sender is starting or if the
+        requesting instance already has it.
     """
 
     version: int
     highest_version: int
-    answers: int
+    request_incarnation: int
     entry: ConfigurationEntry | None
 
 
 class ConfigurationPeers(abc.ABC):
-    """Carries messages about configurations between instances."""
+    """Sends configuration messages to other instances."""
 
     @abc.abstractmethod
     def list_names(self) -> list[str]:
-        """Return the names of the other instances that may be asked."""
+        """Return the names of the other known instances."""
 
     @abc.abstractmethod
-    def count_listed(self) -> int:
-        """Return how many instances are listed, this one included.
+    def count_listed_instances(self) -> int:
+        """Return the number of listed instances, including this one.
 
-        0 stands for a list of which only parts are known.
+        Returns 0 while the list is incomplete.
         """
 
     @abc.abstractmethod
     def announce(self) -> None:
-        """Let the neighbours know soon that a new version is in force."""
+        """Announce a new active version ahead of the next regular heartbeat."""
 
     @abc.abstractmethod
-    def ask(self, name: str, held_version: int, incarnation: int) -> None:
-        """Ask an instance what it runs, and for content above a version.
-
-        The answer repeats ``incarnation``.
+    def send_request(self, name: str, content_version: int, incarnation: int) -> None:
+        """Request the active version of an instance.
+
+        Parameters
+        ----------
+        name : str
+            Name of the instance.
+        content_version : int
+            The response includes the content of a version above this one.
+        incarnation : int
+            Incarnation of this instance, returned in the response.
         """
 
     @abc.abstractmethod
-    def answer(self, name: str, message: ConfigurationMessage) -> None:
-        """Answer a question."""
+    def send_response(self, name: str, response: ConfigurationResponse) -> None:
+        """Send the response to a configuration request."""
--- a/packages/node/src/ebonyhaven_node/_configuration_peers.py
+++ b/packages/node/src/ebonyhaven_node/_configuration_peers.py
@@ -1,4 +1,4 @@
-"""Configurations between instances over the membership's messages."""
+"""Exchange of configurations in membership messages."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from ebonyhaven_node._channels import Channels
 from ebonyhaven_node._configuration import ConfigurationController
 from ebonyhaven_node._configuration_exchange import (
-    ConfigurationMessage,
     ConfigurationPeers,
+    ConfigurationResponse,
 )
 from ebonyhaven_node._digests import Digest
 from ebonyhaven_node._frames import Frame, Kind
@@ -21,7 +21,7 @@
 
 
 class ConfigurationDigest(Digest):
-    """Tells the version in force with each heartbeat.
+    """Adds the active version to each heartbeat.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
 
 
 class MembershipPeers(ConfigurationPeers):
-    """Exchanges configurations with the instances that membership knows.
+    """Exchanges configurations with the members of the cluster.
 
     Parameters
     ----------
@@ -52,7 +52,7 @@
     membership : MembershipController
     channels : Channels
     servers : BackendServers
-        Holds the instances on the platform's list.
+        Provides the instances on the platform's list.
     """
 
     def __init__(
@@ -67,17 +67,17 @@
         self._membership = membership
         self._servers = servers
         membership.add_digest(ConfigurationDigest(controller))
-        channels.subscribe(Kind.CONFIGURATION, self._receive_answer)
-        channels.subscribe(Kind.CONFIGURATION_REQUEST, self._receive_question)
+        channels.subscribe(Kind.CONFIGURATION, self._receive_response)
+        channels.subscribe(Kind.CONFIGURATION_REQUEST, self._receive_request)
 
     def list_names(self) -> list[str]:
         """See `ConfigurationPeers.list_names`."""
-        own = self._membership.own.name
-        known = (record.name for record in self._membership.members)
-        return [name for name in known if name != own]
+        own_name = self._membership.own.name
+        names = (record.name for record in self._membership.members)
+        return [name for name in names if name != own_name]
 
-    def count_listed(self) -> int:
-        """See `ConfigurationPeers.count_listed`."""
+    def count_listed_instances(self) -> int:
+        """See `ConfigurationPeers.count_listed_instances`."""
         if not self._servers.has_whole_list:
             return 0
         listed = {item.name for item in self._servers.instances}
@@ -87,29 +87,34 @@
         """See `ConfigurationPeers.announce`."""
         self._membership.hasten()
 
-    def ask(self, name: str, held_version: int, incarnation: int) -> None:
-        """See `ConfigurationPeers.ask`."""
-        payload = [held_version, incarnation]
+    def send_request(self, name: str, content_version: int, incarnation: int) -> None:
+        """See `ConfigurationPeers.send_request`."""
+        payload = [content_version, incarnation]
         self._membership.send(name, Kind.CONFIGURATION_REQUEST, payload)
 
-    def answer(self, name: str, message: ConfigurationMessage) -> None:
-        """See `ConfigurationPeers.answer`."""
-        entry = message.entry.serialize() if message.entry is not None else None
-        payload = [message.version, message.highest_version, message.answers, entry]
+    def send_response(self, name: str, response: ConfigurationResponse) -> None:
+        """See `ConfigurationPeers.send_response`."""
+        entry = response.entry.serialize() if response.entry is not None else None
+        payload = [
+            response.version,
+            response.highest_version,
+            response.request_incarnation,
+            entry,
+        ]
         self._membership.send(name, Kind.CONFIGURATION, payload)
 
-    def _receive_question(self, frame: Frame) -> None:
-        held_version, incarnation = frame.payload
-        self._controller.receive_question(
-            frame.sender, int(incarnation), int(held_version)
+    def _receive_request(self, frame: Frame) -> None:
+        content_version, incarnation = frame.payload
+        self._controller.receive_request(
+            frame.sender, int(incarnation), int(content_version)
         )
 
-    def _receive_answer(self, frame: Frame) -> None:
-        version, highest_version, answers, entry = frame.payload
-        message = ConfigurationMessage(
+    def _receive_response(self, frame: Frame) -> None:
+        version, highest_version, request_incarnation, entry = frame.payload
+        response = ConfigurationResponse(
             version=int(version),
             highest_version=int(highest_version),
-            answers=int(answers),
+            request_incarnation=int(request_incarnation),
             entry=parse_configuration_entry(entry) if entry is not None else None,
         )
-        self._controller.receive_answer(frame.sender, message)
+        self._controller.receive_response(frame.sender, response)
--- a/packages/node/src/ebonyhaven_node/_control_plane.py
+++ b/packages/node/src/ebonyhaven_node/_control_plane.py
@@ -11,16 +11,16 @@
 from prometheus_client import CollectorRegistry
 from twisted.internet.interfaces import IReactorTime
 
+from ebonyhaven_node._active_configuration import ActiveConfiguration
 from ebonyhaven_node._channels import Channels
 from ebonyhaven_node._configuration import ConfigurationController
 from ebonyhaven_node._configuration_metrics import ConfigurationMetrics
 from ebonyhaven_node._configuration_peers import MembershipPeers
-from ebonyhaven_node._configured import ConfigurationInForce
 from ebonyhaven_node._controllers import start_controller
-from ebonyhaven_node._leases import LeaseController, LeaseMetrics, LeaseOwner
+from ebonyhaven_node._leases import LeaseController, LeaseIdentity, LeaseMetrics
 from ebonyhaven_node._membership import MembershipController
-from ebonyhaven_node._orders import OrderMetrics, OrderParts
-from ebonyhaven_node._pool_controllers import MemberCandidacy, PoolControllers
+from ebonyhaven_node._orders import OrderDependencies, OrderMetrics
+from ebonyhaven_node._pool_controllers import PoolControllers, RendezvousCandidacy
 from ebonyhaven_node._servers import BackendServers
 
 
@@ -30,24 +30,24 @@
 
     Parameters
     ----------
-    owner : LeaseOwner
+    owner : LeaseIdentity
         This instance.
     transport : PlatformTransport
     membership : MembershipController
     channels : Channels
     servers : BackendServers
-    configuration : ConfigurationInForce
+    configuration : ActiveConfiguration
     reactor : IReactorTime
     rng : random.Random
     registry : CollectorRegistry
     """
 
-    owner: LeaseOwner
+    owner: LeaseIdentity
     transport: PlatformTransport
     membership: MembershipController
     channels: Channels
     servers: BackendServers
-    configuration: ConfigurationInForce
+    configuration: ActiveConfiguration
     reactor: IReactorTime
     rng: random.Random
     registry: CollectorRegistry
@@ -92,13 +92,13 @@
         channels=parts.channels,
         servers=parts.servers,
     )
-    controller.connect(peers)
+    controller.connect_peers(peers)
     return controller
 
 
 def _build_pool_controllers(parts: ControlParts) -> PoolControllers:
     metrics = LeaseMetrics(parts.registry)
-    candidacy = MemberCandidacy(
+    candidacy = RendezvousCandidacy(
         parts.owner.name, lambda: _list_live_names(parts.membership)
     )
 
@@ -116,7 +116,7 @@
     return PoolControllers(
         make_lease=make_lease,
         declaration=lambda: parts.configuration.declaration,
-        parts=OrderParts(
+        parts=OrderDependencies(
             servers=parts.servers,
             weights=WeightClient(parts.transport),
             reactor=parts.reactor,
--- a/packages/node/src/ebonyhaven_node/_drivers.py
+++ b/packages/node/src/ebonyhaven_node/_drivers.py
@@ -34,7 +34,7 @@
     make_generation,
 )
 from ebonyhaven_node._runs import Run
-from ebonyhaven_node._scheduling import Slot, SlotWish
+from ebonyhaven_node._scheduling import Slot, SlotRequest
 from ebonyhaven_node._servers import BackendServer
 from ebonyhaven_node._silence import SilenceWatch
 from ebonyhaven_node._stream_opener import StreamOpener
@@ -301,7 +301,7 @@
         return moved
 
     async def _acquire_resume(self, excluded: set[str], deadline: float) -> Slot:
-        wish = SlotWish(
+        slot_request = SlotRequest(
             request=self._request,
             pools=self._targets.pools,
             deadline=deadline,
@@ -309,7 +309,7 @@
             resume=True,
         )
         try:
-            return await self._parts.scheduling.acquire(wish)
+            return await self._parts.scheduling.acquire(slot_request)
         except RequestFailure as failure:
             raise make_failure(
                 OutcomeTag.FAILED,
--- a/packages/node/src/ebonyhaven_node/_filters.py
+++ b/packages/node/src/ebonyhaven_node/_filters.py
@@ -19,7 +19,7 @@
 from twisted.internet.defer import ensureDeferred
 from twisted.internet.interfaces import IReactorTime
 
-from ebonyhaven_node._configured import ConfigurationInForce
+from ebonyhaven_node._active_configuration import ActiveConfiguration
 from ebonyhaven_node._drivers import RunDriver
 from ebonyhaven_node._exchanges import Exchange
 from ebonyhaven_node._failures import refuse
@@ -73,10 +73,10 @@
 
     Parameters
     ----------
-    configuration : ConfigurationInForce
+    configuration : ActiveConfiguration
     """
 
-    def __init__(self, configuration: ConfigurationInForce):
+    def __init__(self, configuration: ActiveConfiguration):
         self._configuration = configuration
 
     async def handle(self, exchange: Exchange, proceed: Proceed[Exchange]) -> None:
--- a/packages/node/src/ebonyhaven_node/_lease_lifecycle.py
+++ b/packages/node/src/ebonyhaven_node/_lease_lifecycle.py
@@ -1,4 +1,4 @@
-"""Life cycle of a lease, as seen by one instance."""
+"""State machine of a lease as seen by one instance."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class LeaseState(enum.StrEnum):
-    """States of a lease."""
+    """Whether this instance watches a lease or holds it."""
 
     WATCHING = "watching"
     HOLDING = "holding"
 
 
 class LeaseLifecycle(Protocol):
-    """Inputs that move a lease from state to state."""
+    """Inputs of the state machine of a lease."""
 
     def acquire(self) -> None:
-        """Note that this instance holds the lease."""
+        """Enter ``HOLDING``, unless already there."""
 
     def lose(self) -> None:
-        """Note that this instance does not hold the lease."""
+        """Enter ``WATCHING``, unless already there."""
 
 
 class LeaseObserver:
-    """Receives each change of state.
+    """Observer of state changes of a lease.
 
     Parameters
     ----------
     observe : callable
-        Called with the state that was entered.
+        Called with each state that is entered.
     """
 
     __slots__ = ("observe",)
@@ -63,7 +63,7 @@
 
 
 def make_lease_lifecycle(observe: Callable[[LeaseState], None]) -> LeaseLifecycle:
-    """Return a lease that is being watched.
+    """Return the state machine of a lease in the state ``WATCHING``.
 
     Parameters
     ----------
--- a/packages/node/src/ebonyhaven_node/_leases.py
+++ b/packages/node/src/ebonyhaven_node/_leases.py
@@ -1,4 +1,4 @@
-"""Controller of one lease in the platform's table."""
+"""Controller of a lease in the platform's table."""
 
 from __future__ import annotations
 
@@ -43,30 +43,30 @@
 
 from ebonyhaven_node._lease_lifecycle import LeaseState, make_lease_lifecycle
 
-STEP_S = 1.0
-JITTER = 0.3
+STEP_PERIOD_S = 1.0
+STEP_JITTER_RATIO = 0.3
 
 _log = structlog.get_logger()
 
 
-def read_clock() -> float:
-    """Return seconds of a clock that goes on while the machine is suspended."""
+def read_boottime_clock() -> float:
+    """Return seconds of a monotonic clock that includes time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class LeaseOwner(NamedTuple):
-    """Who contends for a lease: name and incarnation of the instance."""
+class LeaseIdentity(NamedTuple):
+    """Name and incarnation with which an instance holds leases."""
 
     name: str
     incarnation: int
 
 
 class Candidacy(abc.ABC):
-    """Says whether this instance contends for a lease that is free."""
+    """Decides whether this instance is a candidate for a free lease."""
 
     @abc.abstractmethod
     def is_candidate(self, lease: str) -> bool:
-        """Return whether to read the lease's row and take it over when free."""
+        """Return whether to poll the lease's row and acquire the lease when free."""
 
 
 class LeaseMetrics:
@@ -92,44 +92,53 @@
         )
 
 
-class _Doubt(NamedTuple):
-    """A write whose confirmation was lost, and when it was sent."""
+class _UnconfirmedWrite(NamedTuple):
+    """Write of a lease row whose response was lost.
+
+    Parameters
+    ----------
+    row : LeaseRow
+    sent_at : float
+        Time just before the write was sent, seconds of the lease clock.
+    """
 
     row: LeaseRow
     sent_at: float
 
 
 class LeaseController:
-    """Acquires, renews and gives up one lease.
+    """Acquires, renews and releases one lease.
 
     Parameters
     ----------
     lease : str
         Name of the lease.
-    owner : LeaseOwner
-        This instance.
+    owner : LeaseIdentity
+        Identity of this instance.
     table : TableClient
     reactor : IReactorTime
     rng : random.Random
     candidacy : Candidacy
     metrics : LeaseMetrics
-    terms : LeaseTiming
+    terms : LeaseTiming or None
+        Durations of the lease; None for the defaults.
     clock : callable
-        Seconds of a steady clock that goes on while the process is paused.
+        Returns seconds of a monotonic clock that also advances while the process
+        or the machine is suspended.
     """
 
     def __init__(
         self,
         *,
         lease: str,
-        owner: LeaseOwner,
+        owner: LeaseIdentity,
         table: TableClient,
         reactor: IReactorTime,
         rng: random.Random,
         candidacy: Candidacy,
         metrics: LeaseMetrics,
         terms: LeaseTiming | None = None,
-        clock: Callable[[], float] = read_clock,
+        clock: Callable[[], float] = read_boottime_clock,
     ):
         self.lease = lease
         self._key = f"{LEASE_PREFIX}{lease}"
@@ -141,45 +150,47 @@
         self._terms = terms or LeaseTiming()
         self._clock = clock
         self._view = LeaseView(owner=owner.name, incarnation=owner.incarnation)
-        self._lifecycle = make_lease_lifecycle(self._note_state)
-        self._doubt: _Doubt | None = None
+        self._lifecycle = make_lease_lifecycle(self._record_state)
+        self._unconfirmed_write: _UnconfirmedWrite | None = None
         self._stopped = False
         self._waiting: Deferred | None = None
 
     @property
     def fence(self) -> int:
-        """Fencing number of the present term."""
+        """Fencing number of the lease row as last read or written."""
         return self._view.fence
 
     def is_held(self) -> bool:
-        """Return whether this instance holds the lease right now."""
+        """Return whether this instance currently holds the lease."""
         return is_held(self._view, self._clock())
 
     def may_order(self, *, longest_pause_s: float) -> bool:
-        """Return whether an order may be sent right now.
+        """Return whether an order may be sent now.
 
         Parameters
         ----------
         longest_pause_s : float
-            How long an earlier holder may have paused before its last order.
+            0 for servers that check fencing numbers; for others, the maximum pause
+            of an earlier holder between its lease check and its order, seconds.
         """
         return may_order(self._view, self._clock(), longest_pause_s=longest_pause_s)
 
     def step_down(self) -> None:
-        """Give the lease up locally, after proof that another one holds it."""
+        """Drop the lease without a write, because another instance has acquired it."""
         self._view = LeaseView(
             owner=self._view.owner, incarnation=self._view.incarnation
         )
         self._update_lifecycle()
 
     async def run(self) -> None:
-        """Keep the lease as long as `stop` is not called."""
+        """Acquire and renew the lease until `stop` is called."""
         while not self._stopped:
-            # A lease that can not be read or renewed lapses by itself.
+            # After a failed read or write the next step retries; a lease that is not
+            # renewed in time expires.
             with contextlib.suppress(PlatformError, ValueError):
                 await self._step()
             self._update_lifecycle()
-            period_s = STEP_S * self._rng.uniform(1 - JITTER, 1)
+            period_s = STEP_PERIOD_S * self._rng.uniform(1 - STEP_JITTER_RATIO, 1)
             self._waiting = task.deferLater(self._reactor, period_s)
             try:
                 await self._waiting
@@ -187,13 +198,13 @@
                 return
 
     def stop(self) -> None:
-        """End `run`; the lease lapses by itself."""
+        """Stop `run`; a lease that is held expires."""
         self._stopped = True
         if self._waiting is not None:
             self._waiting.cancel()
 
     async def release(self) -> None:
-        """End `run` and let another instance take the lease at once."""
+        """Stop `run` and release the lease for immediate use by another instance."""
         self.stop()
         if self.is_held():
             with contextlib.suppress(PlatformError, ValueError):
@@ -204,7 +215,7 @@
             if not self._candidacy.is_candidate(self.lease):
                 return
             await self._read_row()
-        elif self._doubt is not None:
+        elif self._unconfirmed_write is not None:
             await self._read_row()
         action = decide_lease_action(self._view, self._terms, self._clock())
         if action is not LeaseAction.WAIT:
@@ -212,10 +223,10 @@
 
     async def _read_row(self) -> None:
         rows = await self._table.read_rows([self._key])
-        self._observe(rows.find(self._key))
+        self._observe_row(rows.find(self._key))
 
     async def _write_row(self, action: str) -> None:
-        row = self._draft(action)
+        row = self._build_row(action)
         sent_at = self._clock()
         transaction = Transaction(
             uuid.uuid4().hex,
@@ -225,34 +236,34 @@
         try:
             version = await self._table.transact(transaction)
         except Conflict as conflict:
-            self._count(action, "conflict")
-            self._observe(conflict.rows[0])
+            self._count_write(action, "conflict")
+            self._observe_row(conflict.rows[0])
         except Unconfirmed:
-            self._count(action, "unconfirmed")
-            self._doubt = _Doubt(row, sent_at)
+            self._count_write(action, "unconfirmed")
+            self._unconfirmed_write = _UnconfirmedWrite(row, sent_at)
         except PlatformError:
-            self._count(action, "failed")
+            self._count_write(action, "failed")
             raise
         else:
-            self._count(action, "done")
-            self._confirm(row, version, sent_at)
+            self._count_write(action, "done")
+            self._confirm_write(row, version, sent_at)
 
-    def _draft(self, action: str) -> LeaseRow:
+    def _build_row(self, action: str) -> LeaseRow:
         if action == "release":
             return build_release_row(self._view)
         return build_lease_row(
             self._view, LeaseAction(action), self._terms, time.time()
         )
 
-    def _observe(self, read: Row) -> None:
+    def _observe_row(self, read: Row) -> None:
         row = parse_lease_row(read.value) if read.value is not None else None
-        doubt, self._doubt = self._doubt, None
-        if doubt is not None and row == doubt.row:
-            self._confirm(row, read.version, doubt.sent_at)
+        unconfirmed, self._unconfirmed_write = self._unconfirmed_write, None
+        if unconfirmed is not None and row == unconfirmed.row:
+            self._confirm_write(row, read.version, unconfirmed.sent_at)
             return
         self._view = observe_lease(self._view, row, read.version, self._clock())
 
-    def _confirm(self, row: LeaseRow, version: int, sent_at: float) -> None:
+    def _confirm_write(self, row: LeaseRow, version: int, sent_at: float) -> None:
         now = self._clock()
         if row.holder != self._view.owner:
             self._view = observe_lease(self._view, row, version, now)
@@ -267,7 +278,7 @@
         else:
             self._lifecycle.lose()
 
-    def _note_state(self, state: LeaseState) -> None:
+    def _record_state(self, state: LeaseState) -> None:
         held = state is LeaseState.HOLDING
         self._metrics.held.labels(self.lease).set(int(held))
         _log.info(
@@ -276,5 +287,5 @@
             fence=self.fence,
         )
 
-    def _count(self, action: str, result: str) -> None:
+    def _count_write(self, action: str, result: str) -> None:
         self._metrics.writes.labels(action, result).inc()
--- a/packages/node/src/ebonyhaven_node/_orders.py
+++ b/packages/node/src/ebonyhaven_node/_orders.py
@@ -1,11 +1,11 @@
-"""Controller that gives the backend servers of one pool their orders.
-
-Each round reads back the state of every server and gives the orders that are
-still needed, at most one in flight a server. The lease is checked again at the
-moment at which an order is written to its connection. An order that a paused
-holder sends after its lease has ended is refused by servers that check fencing
-numbers; where they ignore them, the next round of the present holder finds its
-effect and orders it back.
+"""Controller that sends orders to the backend servers of one pool.
+
+Each round reads the state of every server and sends the orders that are still
+required, with at most one pending order per server. The lease is checked again
+right before an order is written to its connection. If a
+paused holder still sends an order after its lease has expired, servers that check
+fencing numbers reject it. On servers that ignore them, the current holder detects
+the effect in its next round and reverts it with another order.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
 from twisted.internet.interfaces import IReactorTime
 
 from ebonyhaven_node._guarded_body import GuardedBody
-from ebonyhaven_node._leases import LeaseController, read_clock
+from ebonyhaven_node._leases import LeaseController, read_boottime_clock
 from ebonyhaven_node._servers import BackendServer, BackendServers
 
-SHORTEST_ROUND_S = 2.0
-READS_PER_S = 5.0
-JITTER = 0.2
+MIN_ROUND_S = 2.0
+POOL_READS_PER_S = 5.0
+ROUND_JITTER_RATIO = 0.2
 REQUEST_TIMEOUT_S = 2.0
 ORDER_TIMEOUT_S = 30.0
 MAX_CONCURRENT_READS = 8
@@ -75,36 +75,43 @@
         )
 
 
-class ReadBack(NamedTuple):
-    """A backend server and what it said of its state.
+class ReportedState(NamedTuple):
+    """State reported by a backend server.
 
     Parameters
     ----------
     server : BackendServer
     models : frozenset of str
-        Models that it has loaded.
-    parts : frozenset of str
-        Adapters and versions that it has loaded.
+        Loaded models.
+    variants : frozenset of str
+        Loaded adapters and versions.
     leaving : bool
-        Whether it takes no new work.
+        Whether the server accepts no new work.
     """
 
     server: BackendServer
     models: frozenset[str]
-    parts: frozenset[str]
+    variants: frozenset[str]
     leaving: bool
 
 
 class PendingOrder(NamedTuple):
-    """An order whose effect has not been read back yet."""
+    """Order whose effect has not been observed yet.
+
+    Parameters
+    ----------
+    order : Order
+    sent_at : float
+        Time just before sending, seconds of the clock in `OrderDependencies`.
+    """
 
     order: Order
     sent_at: float
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class OrderParts:
-    """What the order controllers of all pools share.
+class OrderDependencies:
+    """Objects shared by the order controllers of all pools.
 
     Parameters
     ----------
@@ -115,7 +122,8 @@
     metrics : OrderMetrics
     policy : PlacementPolicy
     clock : callable
-        Seconds of a steady clock that goes on while the process is paused.
+        Returns seconds of a monotonic clock that also advances while the process
+        or the machine is suspended.
     """
 
     servers: BackendServers
@@ -124,21 +132,21 @@
     rng: random.Random
     metrics: OrderMetrics
     policy: PlacementPolicy = attrs.field(factory=PlacementPolicy)
-    clock: Callable[[], float] = read_clock
+    clock: Callable[[], float] = read_boottime_clock
 
 
 class OrderController:
-    """Brings the servers of one pool to what demand and declaration want.
+    """Adjusts the servers of one pool to the demand and the declaration.
 
     Parameters
     ----------
     pool : str
         Name of the pool.
     lease : LeaseController
-        Lease of this pool's orders.
+        Lease that allows its holder to send orders to this pool.
     declaration : callable
-        Returns the declaration in force.
-    parts : OrderParts
+        Returns the active declaration.
+    dependencies : OrderDependencies
     """
 
     def __init__(
@@ -147,15 +155,15 @@
         pool: str,
         lease: LeaseController,
         declaration: Callable[[], Declaration | None],
-        parts: OrderParts,
+        dependencies: OrderDependencies,
     ):
         self._pool = pool
         self._lease = lease
         self._declaration = declaration
-        self._parts = parts
+        self._dependencies = dependencies
         self._placement = Placement()
         self._pending: dict[str, PendingOrder] = {}
-        self._reads = DeferredSemaphore(MAX_CONCURRENT_READS)
+        self._read_semaphore = DeferredSemaphore(MAX_CONCURRENT_READS)
         self._stopped = False
         self._waiting: Deferred | None = None
 
@@ -168,17 +176,17 @@
             else:
                 self._placement = Placement()
                 self._pending = {}
-            count = len(self._parts.servers.in_pools([self._pool]))
-            round_s = max(SHORTEST_ROUND_S, count / READS_PER_S)
-            round_s *= self._parts.rng.uniform(1 - JITTER, 1)
-            self._waiting = task.deferLater(self._parts.reactor, round_s)
+            count = len(self._dependencies.servers.in_pools([self._pool]))
+            round_s = max(MIN_ROUND_S, count / POOL_READS_PER_S)
+            round_s *= self._dependencies.rng.uniform(1 - ROUND_JITTER_RATIO, 1)
+            self._waiting = task.deferLater(self._dependencies.reactor, round_s)
             try:
                 await self._waiting
             except CancelledError:
                 return
 
     def stop(self) -> None:
-        """End `run`."""
+        """Stop `run`."""
         self._stopped = True
         if self._waiting is not None:
             self._waiting.cancel()
@@ -187,64 +195,68 @@
         pool = declaration.pools.get(self._pool)
         if pool is None:
             return
-        read_back = await self._read_states()
-        placed = [self._describe(item, declaration) for item in read_back]
-        now = self._parts.clock()
+        states = await self._read_states()
+        placed = [self._build_placed_server(item, declaration) for item in states]
+        now = self._dependencies.clock()
         self._placement = update_placement(
-            self._placement, pool, placed, policy=self._parts.policy, now=now
+            self._placement, pool, placed, policy=self._dependencies.policy, now=now
         )
-        self._settle_pending(placed, now)
-        by_name = {item.server.name: item.server for item in read_back}
+        self._remove_finished_orders(placed, now)
+        by_name = {item.server.name: item.server for item in states}
         for order in list_orders(self._placement, pool, declaration.models, placed):
             if order.server in self._pending:
                 continue
-            if not await self._may_fetch(order):
+            if not await self._request_fetch(order):
                 return
-            if not await self._send(order, by_name[order.server], pool):
+            if not await self._send_order(order, by_name[order.server], pool):
                 return
 
-    async def _read_states(self) -> list[ReadBack]:
-        servers = self._parts.servers.in_pools([self._pool])
+    async def _read_states(self) -> list[ReportedState]:
+        servers = self._dependencies.servers.in_pools([self._pool])
         reads = [
-            self._reads.run(lambda item=item: Deferred.fromCoroutine(self._read(item)))
+            self._read_semaphore.run(
+                lambda item=item: Deferred.fromCoroutine(self._read_state(item))
+            )
             for item in servers
             if not item.leaving
         ]
         return [item for item in await gatherResults(reads) if item is not None]
 
-    async def _read(self, server: BackendServer) -> ReadBack | None:
+    async def _read_state(self, server: BackendServer) -> ReportedState | None:
         try:
             response = await treq.get(
                 f"http://{server.address}/v1/state",
                 timeout=REQUEST_TIMEOUT_S,
-                reactor=self._parts.reactor,
+                reactor=self._dependencies.reactor,
                 persistent=False,
             )
             state = await treq.json_content(response)
-            return ReadBack(
+            return ReportedState(
                 server=server,
                 models=frozenset(state["models"]),
-                parts=frozenset(state["versions"]) | frozenset(state["adapters"]),
+                variants=frozenset(state["versions"]) | frozenset(state["adapters"]),
                 leaving=bool(state["leaving"]),
             )
-        except Exception:  # a server that cannot be read back gets no orders
+        except Exception:  # no orders are sent to a server whose state is unknown
             return None
 
-    def _describe(self, item: ReadBack, declaration: Declaration) -> PlacedServer:
+    def _build_placed_server(
+        self, item: ReportedState, declaration: Declaration
+    ) -> PlacedServer:
         server = item.server
-        gaps = [each.gap_ms for each in declaration.classes.values()]
-        strictest_s = min(gaps, default=float("inf")) / 1000
+        gap_targets_ms = [each.gap_ms for each in declaration.classes.values()]
+        strictest_gap_s = min(gap_targets_ms, default=float("inf")) / 1000
         return PlacedServer(
             name=server.name,
             data_centre=server.data_centre,
             models=item.models,
-            parts=item.parts,
+            parts=item.variants,
             load=(server.running + server.waiting) / max(1, server.capacity),
-            gap_ratio=server.pace_s / strictest_s,
+            gap_ratio=server.pace_s / strictest_gap_s,
             leaving=item.leaving,
         )
 
-    def _settle_pending(self, placed: list[PlacedServer], now: float) -> None:
+    def _remove_finished_orders(self, placed: list[PlacedServer], now: float) -> None:
         for server in placed:
             pending = self._pending.get(server.name)
             if pending is None:
@@ -253,20 +265,24 @@
             if timed_out or is_order_applied(pending.order, server):
                 del self._pending[server.name]
                 result = "timed_out" if timed_out else "done"
-                self._parts.metrics.orders.labels(pending.order.kind, result).inc()
+                self._dependencies.metrics.orders.labels(
+                    pending.order.kind, result
+                ).inc()
 
-    async def _may_fetch(self, order: Order) -> bool:
-        """Return whether an order may go out by the weight store's rate."""
+    async def _request_fetch(self, order: Order) -> bool:
+        """Return whether the rate limit of the weight store permits an order."""
         if order.kind is not OrderKind.LOAD:
             return True
         try:
-            await self._parts.weights.request_fetch(order.name)
+            await self._dependencies.weights.request_fetch(order.name)
         except PlatformError:
             return False
         return True
 
-    async def _send(self, order: Order, server: BackendServer, pool: Pool) -> bool:
-        """Send one order; return whether the round may go on."""
+    async def _send_order(
+        self, order: Order, server: BackendServer, pool: Pool
+    ) -> bool:
+        """Send one order and return whether to continue the round."""
         body = {
             "order_id": uuid.uuid4().hex,
             "kind": order.kind.value,
@@ -282,21 +298,21 @@
         if not may_order():
             return False
         content = GuardedBody(json.dumps(body).encode(), may_order)
-        self._pending[server.name] = PendingOrder(order, self._parts.clock())
+        self._pending[server.name] = PendingOrder(order, self._dependencies.clock())
         try:
             response = await treq.post(
                 f"http://{server.address}/v1/orders",
                 data=content,
                 timeout=REQUEST_TIMEOUT_S,
-                reactor=self._parts.reactor,
+                reactor=self._dependencies.reactor,
                 persistent=False,
             )
             await treq.content(response)
-        except Exception:  # whether it arrived is read back in a later round
-            self._parts.metrics.orders.labels(order.kind, "unconfirmed").inc()
+        except Exception:  # a later round reads whether the order was applied
+            self._dependencies.metrics.orders.labels(order.kind, "unconfirmed").inc()
             return True
         if response.code == STATUS_STALE_FENCE:
-            self._parts.metrics.orders.labels(order.kind, "stale_fence").inc()
+            self._dependencies.metrics.orders.labels(order.kind, "stale_fence").inc()
             self._lease.step_down()
             return False
         _log.info("order_sent", fence=body["fence"], **order._asdict())
--- a/packages/node/src/ebonyhaven_node/_policy_scheduling.py
+++ b/packages/node/src/ebonyhaven_node/_policy_scheduling.py
@@ -1,4 +1,7 @@
-"""Scheduling by the decision package: admission, fair queue and routing."""
+"""Slot scheduler based on ``ebonyhaven_decisions``.
+
+The decision package does admission, fair queueing and routing.
+"""
 
 from __future__ import annotations
 
@@ -26,10 +29,10 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IDelayedCall, IReactorTime
 
-from ebonyhaven_node._configured import ConfigurationInForce
+from ebonyhaven_node._active_configuration import ActiveConfiguration
 from ebonyhaven_node._failures import refuse
 from ebonyhaven_node._requests import CHARACTERS_PER_TOKEN, GenerationRequest
-from ebonyhaven_node._scheduling import Scheduling, Slot, SlotWish
+from ebonyhaven_node._scheduling import Slot, SlotRequest, SlotScheduler
 from ebonyhaven_node._servers import (
     BackendServer,
     BackendServers,
@@ -40,12 +43,12 @@
 RECHECK_PERIOD_S = 0.05
 PREFIX_BLOCK_CHARACTERS = 64
 MAX_PREFIXES = 10
-OVERLOAD_SHARE = 0.95
+OVERLOAD_CAPACITY_SHARE = 0.95
 OVERLOAD_RETRY_S = 0.5
 NO_SERVER_RETRY_S = 1.0
 MODEL_MISSING = "model_not_loaded"
 ENGINE_FULL = "full"
-_REFUSALS = {
+_FAILURE_KINDS = {
     MODEL_MISSING: FailureKind.MODEL_MISSING,
     ENGINE_FULL: FailureKind.FULL,
     "leaving": FailureKind.LEAVING,
@@ -54,25 +57,27 @@
 
 @attrs.define(slots=True, kw_only=True, eq=False)
 class PolicySlot(Slot):
-    """Room for one stream, counted by the scheduler.
+    """Slot that is counted by the scheduler.
 
     Parameters
     ----------
     item_id : str
-        Name of the request at the scheduler; empty for an adopted stream.
-    scheduling : PolicyScheduling
+        ID of the request in the scheduler; empty for an adopted stream.
+    scheduling : PolicySlotScheduler
+    is_complete : bool
+        Whether the output is complete.
     """
 
     item_id: str
-    scheduling: PolicyScheduling
-    is_whole: bool = False
+    scheduling: PolicySlotScheduler
+    is_complete: bool = False
 
     def release(self) -> None:
         """See `Slot.release`."""
         if self.held:
             self.held = False
             self.server.in_flight -= 1
-            self.scheduling.end(self)
+            self.scheduling.end_slot(self)
 
     def record_tokens(self, count: int) -> None:
         """See `Slot.record_tokens`."""
@@ -81,35 +86,35 @@
 
     def record_completion(self) -> None:
         """See `Slot.record_completion`."""
-        self.is_whole = True
+        self.is_complete = True
 
     def record_refusal(self, reason: str) -> None:
         """See `Slot.record_refusal`."""
-        kind = _REFUSALS.get(reason)
+        kind = _FAILURE_KINDS.get(reason)
         if self.held and kind is not None:
             self.scheduling.record_failure(self.item_id, kind)
 
 
 @attrs.frozen(slots=True, eq=False)
 class _Waiter:
-    wish: SlotWish
+    slot_request: SlotRequest
     item: WorkItem
     granted: Deferred
 
 
-class PolicyScheduling(Scheduling, ServerListener):
-    """Asks a `Scheduler` which request runs where, and when.
+class PolicySlotScheduler(SlotScheduler, ServerListener):
+    """Assigns slots according to the decisions of a `Scheduler`.
 
     Parameters
     ----------
     scheduler : Scheduler
     servers : BackendServers
-    configuration : ConfigurationInForce
+    configuration : ActiveConfiguration
     reactor : IReactorTime
-    read_own_load : callable
-        Returns the share of this instance's capacity in use, 0 to 1.
+    read_instance_load : callable
+        Returns the share of the capacity of this instance in use, 0 to 1.
     clock : callable
-        Returns seconds; the scheduler was built with the same clock.
+        Returns monotonic seconds of the clock with which ``scheduler`` was built.
     """
 
     def __init__(
@@ -117,45 +122,50 @@
         *,
         scheduler: Scheduler,
         servers: BackendServers,
-        configuration: ConfigurationInForce,
+        configuration: ActiveConfiguration,
         reactor: IReactorTime,
-        read_own_load: Callable[[], float] = lambda: 0.0,
+        read_instance_load: Callable[[], float] = lambda: 0.0,
         clock: Callable[[], float] = time.monotonic,
     ):
         self._clock = clock
         self.scheduler = scheduler
-        self._read_own_load = read_own_load
+        self._read_instance_load = read_instance_load
         self._servers = servers
         self._configuration = configuration
         self._reactor = reactor
         self._waiters: dict[str, _Waiter] = {}
         self._resumes: dict[str, _Waiter] = {}
-        self._numbers = itertools.count()
-        self._is_pumping = False
-        self._must_pump = False
+        self._item_numbers = itertools.count()
+        self._is_processing = False
+        self._must_repeat = False
         self._recheck: IDelayedCall | None = None
-        servers.observe(self._take_servers)
+        servers.observe(self._update_servers)
         servers.listener = self
-        configuration.observe(self._take_declaration)
-
-    # -- Scheduling --------------------------------------------------------
-
-    async def acquire(self, wish: SlotWish) -> Slot:
-        """See `Scheduling.acquire`."""
-        if not wish.resume and self._read_own_load() >= OVERLOAD_SHARE:
-            raise _describe_overload()
-        item = self._describe(wish)
-        waiter = _Waiter(wish, item, Deferred(lambda _: self._forget(item.item_id)))
-        if wish.resume:
+        configuration.observe(self._apply_declaration)
+
+    # -- SlotScheduler -----------------------------------------------------
+
+    async def acquire(self, slot_request: SlotRequest) -> Slot:
+        """See `SlotScheduler.acquire`."""
+        if (
+            not slot_request.resume
+            and self._read_instance_load() >= OVERLOAD_CAPACITY_SHARE
+        ):
+            raise _make_overload_failure()
+        item = self._build_item(slot_request)
+        waiter = _Waiter(
+            slot_request, item, Deferred(lambda _: self._cancel(item.item_id))
+        )
+        if slot_request.resume:
             self._resumes[item.item_id] = waiter
         else:
             self._waiters[item.item_id] = waiter
             self._submit(waiter)
-        self.pump()
+        self.process_queue()
         return await waiter.granted
 
     def adopt(self, server: BackendServer) -> Slot:
-        """See `Scheduling.adopt`."""
+        """See `SlotScheduler.adopt`."""
         server.in_flight += 1
         state = self.scheduler.dispatcher.table.get(server.name)
         if state is not None:
@@ -190,46 +200,46 @@
     # -- slots -------------------------------------------------------------
 
     def record_tokens(self, item_id: str, count: int) -> None:
-        """Count tokens that arrived for a request."""
+        """Record tokens received for a request."""
         dispatcher = self.scheduler.dispatcher
         now = self._clock()
         dispatcher.record_first_token(item_id, now)
         dispatcher.record_tokens(item_id, count, now)
 
     def record_failure(self, item_id: str, kind: FailureKind) -> None:
-        """Note why a server did not run a request."""
+        """Record why a server did not run a request."""
         self.scheduler.dispatcher.record_failure(item_id, kind, self._clock())
 
-    def end(self, slot: PolicySlot) -> None:
-        """Take back the room of a slot."""
+    def end_slot(self, slot: PolicySlot) -> None:
+        """Record the end of the stream in a slot."""
         dispatcher = self.scheduler.dispatcher
         now = self._clock()
         if slot.item_id:
-            dispatcher.record_end(slot.item_id, now, is_complete=slot.is_whole)
+            dispatcher.record_end(slot.item_id, now, is_complete=slot.is_complete)
         elif (state := dispatcher.table.get(slot.server.name)) is not None:
             state.record_end(now)
-        self.pump()
+        self.process_queue()
 
     # -- queue -------------------------------------------------------------
 
-    def pump(self) -> None:
-        """Carry out the decisions that are due."""
-        if self._is_pumping:
-            self._must_pump = True
+    def process_queue(self) -> None:
+        """Apply the pending decisions of the scheduler."""
+        if self._is_processing:
+            self._must_repeat = True
             return
-        self._is_pumping = True
+        self._is_processing = True
         try:
-            self._must_pump = True
-            while self._must_pump:
-                self._must_pump = False
-                self._carry_out()
+            self._must_repeat = True
+            while self._must_repeat:
+                self._must_repeat = False
+                self._apply_decisions()
         finally:
-            self._is_pumping = False
+            self._is_processing = False
         self._schedule_recheck()
 
-    def _carry_out(self) -> None:
+    def _apply_decisions(self) -> None:
         now = self._clock()
-        self._try_resumes(now)
+        self._route_resumes(now)
         decisions = self.scheduler.collect_decisions(now)
         for dispatch in decisions.dispatches:
             self._grant(self._waiters.pop(dispatch.item.item_id, None), dispatch)
@@ -238,24 +248,26 @@
 
     def _submit(self, waiter: _Waiter) -> None:
         now = self._clock()
-        if waiter.wish.retry:
-            refusal = self.scheduler.requeue(waiter.item, waiter.wish.excluded, now)
+        if waiter.slot_request.retry:
+            refusal = self.scheduler.requeue(
+                waiter.item, waiter.slot_request.excluded, now
+            )
         else:
             refusal = self.scheduler.submit(waiter.item, now)
         if refusal is not None:
             self._refuse(refusal)
 
-    def _try_resumes(self, now: float) -> None:
+    def _route_resumes(self, now: float) -> None:
         for item_id, waiter in list(self._resumes.items()):
             dispatch = self.scheduler.dispatcher.route_resume(
-                waiter.item, waiter.wish.excluded, now
+                waiter.item, waiter.slot_request.excluded, now
             )
             if dispatch is not None:
                 del self._resumes[item_id]
                 self._grant(waiter, dispatch)
-            elif now >= waiter.wish.deadline:
+            elif now >= waiter.slot_request.deadline:
                 del self._resumes[item_id]
-                waiter.granted.errback(_describe_unavailable())
+                waiter.granted.errback(_make_unavailable_failure())
 
     def _grant(self, waiter: _Waiter | None, dispatch: Dispatch) -> None:
         server = self._servers.find(dispatch.choice.server.name)
@@ -270,9 +282,9 @@
     def _refuse(self, refusal: Refusal) -> None:
         waiter = self._waiters.pop(refusal.item.item_id, None)
         if waiter is not None:
-            waiter.granted.errback(_describe_refusal(refusal))
+            waiter.granted.errback(_make_refusal_failure(refusal))
 
-    def _forget(self, item_id: str) -> None:
+    def _cancel(self, item_id: str) -> None:
         self._waiters.pop(item_id, None)
         self._resumes.pop(item_id, None)
         self.scheduler.cancel(item_id, self._clock())
@@ -281,15 +293,17 @@
         if not self._waiters and not self._resumes:
             return
         if self._recheck is None or not self._recheck.active():
-            self._recheck = self._reactor.callLater(RECHECK_PERIOD_S, self.pump)
+            self._recheck = self._reactor.callLater(
+                RECHECK_PERIOD_S, self.process_queue
+            )
 
-    # -- what the scheduler knows ------------------------------------------
+    # -- scheduler inputs --------------------------------------------------
 
-    def _describe(self, wish: SlotWish) -> WorkItem:
-        request = wish.request
+    def _build_item(self, slot_request: SlotRequest) -> WorkItem:
+        request = slot_request.request
         digests, tokens = hash_prefixes(request)
         return WorkItem(
-            item_id=f"{request.run_id}/{next(self._numbers)}",
+            item_id=f"{request.run_id}/{next(self._item_numbers)}",
             workspace=request.workspace,
             class_name=request.class_name,
             model=request.model,
@@ -297,10 +311,10 @@
             max_tokens=request.max_tokens,
             prefix_digests=digests,
             prefix_tokens=tokens,
-            arrival=wish.arrival,
+            arrival=slot_request.arrival,
         )
 
-    def _take_declaration(self, declaration: Declaration) -> None:
+    def _apply_declaration(self, declaration: Declaration) -> None:
         targets = {
             name: ClassTargets(
                 first_token_ms=each.first_token_ms,
@@ -311,10 +325,10 @@
             for name, each in declaration.classes.items()
         }
         self.scheduler.replace_policies(derive_policies(targets))
-        self._take_servers()
-        self.pump()
+        self._update_servers()
+        self.process_queue()
 
-    def _take_servers(self) -> None:
+    def _update_servers(self) -> None:
         declaration = self._configuration.declaration
         if declaration is None:
             return
@@ -341,7 +355,7 @@
 def hash_prefixes(
     request: GenerationRequest,
 ) -> tuple[tuple[str, ...], tuple[int, ...]]:
-    """Return digests of prefixes of the prompt that double in length.
+    """Return digests of prefixes of the prompt whose length doubles each time.
 
     Parameters
     ----------
@@ -350,29 +364,29 @@
     Returns
     -------
     tuple of tuples
-        Digests as engines name them, and the tokens that each prefix has.
+        Digests in the form that engines report, and the token count of each prefix.
     """
     digests: list[str] = []
     tokens: list[int] = []
     hashed = hashlib.sha256()
-    done = 0
+    hashed_length = 0
     for power in range(MAX_PREFIXES):
         length = PREFIX_BLOCK_CHARACTERS << power
         if length > len(request.prompt):
             break
-        hashed.update(request.prompt[done:length].encode())
-        done = length
+        hashed.update(request.prompt[hashed_length:length].encode())
+        hashed_length = length
         digests.append(hashed.hexdigest()[:16])
         tokens.append(length // CHARACTERS_PER_TOKEN)
     return tuple(digests), tuple(tokens)
 
 
-def _describe_refusal(refusal: Refusal) -> RequestFailure:
+def _make_refusal_failure(refusal: Refusal) -> RequestFailure:
     retry_after_s = round(refusal.retry_after_s, 2)
     return refuse(str(refusal.reason), step="admit", retry_after_s=retry_after_s)
 
 
-def _describe_overload() -> RequestFailure:
+def _make_overload_failure() -> RequestFailure:
     return refuse(
         "this instance is overloaded; ask for entries and use another",
         step="admit",
@@ -380,7 +394,7 @@
     )
 
 
-def _describe_unavailable() -> RequestFailure:
+def _make_unavailable_failure() -> RequestFailure:
     return refuse(
         "no backend server could take the request in time",
         step="route",
--- a/packages/node/src/ebonyhaven_node/_pool_controllers.py
+++ b/packages/node/src/ebonyhaven_node/_pool_controllers.py
@@ -1,4 +1,4 @@
-"""Keeps one lease and one order controller for each declared engine pool."""
+"""Lease and order controllers of the declared engine pools."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from ebonyhaven_node._controllers import start_controller
 from ebonyhaven_node._leases import Candidacy, LeaseController
-from ebonyhaven_node._orders import OrderController, OrderParts
+from ebonyhaven_node._orders import OrderController, OrderDependencies
 
-CANDIDATES = 3
+CANDIDATES_PER_LEASE = 3
 
 
 def choose_candidates(lease: str, instances: Iterable[str]) -> list[str]:
-    """Return the instances that contend for a lease.
+    """Return the candidates for a lease, chosen by rendezvous hashing.
 
-    All instances that know the same others choose the same few, different ones
-    for different leases, so that the reads of lease rows do not grow with the
-    number of instances.
+    Instances with the same membership view choose the same candidates, and the
+    candidates differ between leases. The limit keeps the rate at which lease rows
+    are read independent of the number of instances.
 
     Parameters
     ----------
@@ -29,33 +29,38 @@
         Name of the lease.
     instances : iterable of str
         Names of the live instances.
+
+    Returns
+    -------
+    list of str
+        At most `CANDIDATES_PER_LEASE` names.
     """
 
-    def weigh(name: str) -> bytes:
+    def compute_weight(name: str) -> bytes:
         return hashlib.sha256(f"{lease} {name}".encode()).digest()
 
-    return sorted(instances, key=weigh)[:CANDIDATES]
+    return sorted(instances, key=compute_weight)[:CANDIDATES_PER_LEASE]
 
 
-class MemberCandidacy(Candidacy):
-    """Lets a few live instances contend for each lease.
+class RendezvousCandidacy(Candidacy):
+    """Selects a few live instances as candidates for each lease.
 
     Parameters
     ----------
-    own_name : str
+    instance : str
         Name of this instance.
-    list_live : callable
+    list_live_instances : callable
         Returns the names of the live instances.
     """
 
-    def __init__(self, own_name: str, list_live: Callable[[], Iterable[str]]):
-        self._own_name = own_name
-        self._list_live = list_live
+    def __init__(self, instance: str, list_live_instances: Callable[[], Iterable[str]]):
+        self._instance = instance
+        self._list_live_instances = list_live_instances
 
     def is_candidate(self, lease: str) -> bool:
         """See `Candidacy.is_candidate`."""
-        live = {self._own_name, *self._list_live()}
-        return self._own_name in choose_candidates(lease, live)
+        live_instances = {self._instance, *self._list_live_instances()}
+        return self._instance in choose_candidates(lease, live_instances)
 
 
 @attrs.frozen(slots=True)
@@ -73,15 +78,15 @@
 
 
 class PoolControllers:
-    """Starts and stops the controllers of engine pools with the declaration.
+    """Starts and stops controllers as the declaration adds and removes pools.
 
     Parameters
     ----------
     make_lease : callable
-        Returns the `LeaseController` of a lease name.
+        Returns a `LeaseController` for the name of a lease.
     declaration : callable
-        Returns the declaration in force.
-    parts : OrderParts
+        Returns the active declaration.
+    parts : OrderDependencies
     """
 
     def __init__(
@@ -89,15 +94,15 @@
         *,
         make_lease: Callable[[str], LeaseController],
         declaration: Callable[[], Declaration | None],
-        parts: OrderParts,
+        parts: OrderDependencies,
     ):
         self._make_lease = make_lease
         self._declaration = declaration
-        self._parts = parts
+        self._order_dependencies = parts
         self._pools: dict[str, _PoolControllers] = {}
 
     def update(self, declaration: Declaration) -> None:
-        """Run controllers for just the engine pools of a declaration.
+        """Start and stop controllers to match the engine pools of a declaration.
 
         Parameters
         ----------
@@ -114,20 +119,23 @@
             self._pools[name] = self._start(name)
 
     def stop(self) -> None:
-        """Stop all controllers; the leases held lapse."""
+        """Stop all controllers; the leases that are held expire."""
         for pool in self._pools.values():
             pool.stop()
         self._pools = {}
 
     async def release(self) -> None:
-        """Stop all controllers and release the leases held."""
+        """Stop all controllers and release the leases that are held."""
         pools, self._pools = self._pools, {}
         await gatherResults([pool.release() for pool in pools.values()])
 
     def _start(self, name: str) -> _PoolControllers:
         lease = self._make_lease(f"orders-{name}")
         orders = OrderController(
-            pool=name, lease=lease, declaration=self._declaration, parts=self._parts
+            pool=name,
+            lease=lease,
+            declaration=self._declaration,
+            dependencies=self._order_dependencies,
         )
         start_controller(lease.lease, lease.run())
         start_controller(f"orders of {name}", orders.run())
--- a/packages/node/src/ebonyhaven_node/_run_parts.py
+++ b/packages/node/src/ebonyhaven_node/_run_parts.py
@@ -12,7 +12,7 @@
 from ebonyhaven_node._engines import EngineClient
 from ebonyhaven_node._metrics import RelayMetrics
 from ebonyhaven_node._orphans import OrphanCanceller
-from ebonyhaven_node._scheduling import Scheduling
+from ebonyhaven_node._scheduling import SlotScheduler
 from ebonyhaven_node._servers import BackendServers
 
 GENERATION_DIGITS = 8
@@ -47,7 +47,7 @@
     ----------
     engines : EngineClient
     servers : BackendServers
-    scheduling : Scheduling
+    scheduling : SlotScheduler
     claims : ClaimStore
     orphans : OrphanCanceller
     crashes : CrashReports
@@ -60,7 +60,7 @@
 
     engines: EngineClient
     servers: BackendServers
-    scheduling: Scheduling
+    scheduling: SlotScheduler
     claims: ClaimStore
     orphans: OrphanCanceller
     crashes: CrashReports
--- a/packages/node/src/ebonyhaven_node/_scheduling.py
+++ b/packages/node/src/ebonyhaven_node/_scheduling.py
@@ -1,4 +1,4 @@
-"""Choice of a backend server for a request, and waiting for one."""
+"""Interfaces for acquiring a slot on a backend server for a request."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @attrs.define(slots=True, kw_only=True, eq=False)
 class Slot:
-    """Room for one stream on a backend server.
+    """Capacity for one stream on a backend server.
 
     Parameters
     ----------
     server : BackendServer
     held : bool
-        False once the room was given back.
+        False after the slot was released.
     priority : int
-        Priority at the engine; 0 is served first.
+        Priority in the queue of the engine; 0 is served first, then 1 and so on.
     """
 
     server: BackendServer
@@ -29,43 +29,51 @@
     priority: int = 0
 
     def release(self) -> None:
-        """Give the room back; further calls do nothing."""
+        """Release the slot; further calls do nothing."""
         if self.held:
             self.held = False
             self.server.in_flight -= 1
 
     def record_tokens(self, count: int) -> None:
-        """Count tokens that arrived from the server."""
+        """Record tokens received from the server."""
         return
 
     def record_completion(self) -> None:
-        """Take note that the output ended by itself."""
+        """Record that the output is complete."""
         return
 
     def record_refusal(self, reason: str) -> None:
-        """Take note of the name of the error with which the server refused."""
+        """Record that the server refused the request.
+
+        Parameters
+        ----------
+        reason : str
+            Error name in the response of the server.
+        """
         return
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class SlotWish:
-    """What a slot is wanted for.
+class SlotRequest:
+    """Request for a slot.
 
     Parameters
     ----------
     request : GenerationRequest
+        Request of the caller.
     pools : frozenset of str
         Pools that serve the model.
     deadline : float
-        Monotonic time after which the wish is given up, seconds.
+        Monotonic time after which a resumed stream stops waiting, seconds; other
+        requests wait as long as their class allows.
     excluded : frozenset of str
         Backend servers that must not be chosen.
     resume : bool
-        Whether a stream that was lost goes on with it.
+        Whether the slot is for resuming a lost stream.
     retry : bool
         Whether an earlier attempt at the same request was refused or lost.
     arrival : float
-        Monotonic time at which the caller asked, seconds.
+        Monotonic time at which the request arrived, seconds.
     """
 
     request: GenerationRequest
@@ -77,22 +85,22 @@
     arrival: float = attrs.field(factory=time.monotonic)
 
 
-class Scheduling(abc.ABC):
-    """Decides which request goes to which backend server, and when."""
+class SlotScheduler(abc.ABC):
+    """Assigns requests to slots on backend servers."""
 
     @abc.abstractmethod
-    async def acquire(self, wish: SlotWish) -> Slot:
-        """Wait for room on a suitable backend server.
+    async def acquire(self, slot_request: SlotRequest) -> Slot:
+        """Wait for a slot on a suitable backend server.
 
         Raises
         ------
         RequestFailure
-            ``not_run`` with a retry time, as soon as it is clear that no room
-            will be had in time.
+            ``not_run`` with a retry time, as soon as it is known that no slot
+            will be available in time.
         CancelledError
             If the Deferred of the coroutine is cancelled.
         """
 
     @abc.abstractmethod
     def adopt(self, server: BackendServer) -> Slot:
-        """Count a stream that was found running on a server."""
+        """Return a slot for a stream that already runs on a server."""
--- a/packages/node/src/ebonyhaven_node/_services.py
+++ b/packages/node/src/ebonyhaven_node/_services.py
@@ -11,10 +11,10 @@
 from twisted.internet.interfaces import IReactorTime
 from twisted.web.http import Request
 
-from ebonyhaven_node._configured import ConfigurationInForce
+from ebonyhaven_node._active_configuration import ActiveConfiguration
 from ebonyhaven_node._engines import CONNECT_TIMEOUT_S
 from ebonyhaven_node._requests import MAX_BODY_BYTES, parse_repeatable, reject
-from ebonyhaven_node._scheduling import Scheduling
+from ebonyhaven_node._scheduling import SlotScheduler
 from ebonyhaven_node._servers import BackendServer, BackendServers
 from ebonyhaven_node._sinks import write_outcome
 
@@ -37,18 +37,18 @@
 
     Parameters
     ----------
-    configuration : ConfigurationInForce
+    configuration : ActiveConfiguration
     servers : BackendServers
-    scheduling : Scheduling
+    scheduling : SlotScheduler
     reactor : IReactorTime
     """
 
     def __init__(
         self,
         *,
-        configuration: ConfigurationInForce,
+        configuration: ActiveConfiguration,
         servers: BackendServers,
-        scheduling: Scheduling,
+        scheduling: SlotScheduler,
         reactor: IReactorTime,
     ):
         self._configuration = configuration
--- a/packages/node/src/ebonyhaven_node/_stream_opener.py
+++ b/packages/node/src/ebonyhaven_node/_stream_opener.py
@@ -23,7 +23,7 @@
     make_generation,
 )
 from ebonyhaven_node._runs import Run
-from ebonyhaven_node._scheduling import Slot, SlotWish
+from ebonyhaven_node._scheduling import Slot, SlotRequest
 from ebonyhaven_node._servers import BackendServer
 from ebonyhaven_node._silence import SilenceWatch
 from ebonyhaven_node.exceptions import EngineLost, EngineRefusal
@@ -182,7 +182,7 @@
     async def _acquire_start(
         self, excluded: set[str], deadline: float, *, resume: bool, retry: bool
     ) -> Slot:
-        wish = SlotWish(
+        slot_request = SlotRequest(
             request=self._run.request,
             pools=self._targets.pools,
             deadline=deadline,
@@ -191,7 +191,7 @@
             retry=retry,
             arrival=self._silence.accepted_at,
         )
-        self._acquiring = ensureDeferred(self._parts.scheduling.acquire(wish))
+        self._acquiring = ensureDeferred(self._parts.scheduling.acquire(slot_request))
         try:
             return await self._acquiring
         except CancelledError as error:
--- a/packages/node/src/ebonyhaven_node/_web.py
+++ b/packages/node/src/ebonyhaven_node/_web.py
@@ -13,7 +13,7 @@
 from twisted.internet.threads import deferToThread
 from twisted.web.http import Request
 
-from ebonyhaven_node._configured import ConfigurationInForce
+from ebonyhaven_node._active_configuration import ActiveConfiguration
 from ebonyhaven_node._exchanges import Exchange
 from ebonyhaven_node._filter_chain import Proceed
 from ebonyhaven_node._requests import MAX_BODY_BYTES, decode_body
@@ -48,7 +48,7 @@
     entries : callable
         Returns the entry list to answer with.
     state : InstanceState
-    configuration : ConfigurationInForce
+    configuration : ActiveConfiguration
     registry : CollectorRegistry
     """
 
@@ -61,7 +61,7 @@
         services: ServiceRelay,
         entries: Callable[[], EntryList],
         state: InstanceState,
-        configuration: ConfigurationInForce,
+        configuration: ActiveConfiguration,
         registry: CollectorRegistry,
     ):
         self._chain = chain
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -3,17 +3,17 @@
 import random
 
 from ebonyhaven_decisions import CURRENT_CONFIGURATION_KEY, ConfigurationEntry
+from ebonyhaven_node._active_configuration import ActiveConfiguration
 from ebonyhaven_node._configuration import (
-    ASK_BATCH,
-    SHORTEST_PERIOD_S,
+    MIN_READ_PERIOD_S,
+    REQUEST_BATCH_SIZE,
     ConfigurationController,
 )
 from ebonyhaven_node._configuration_exchange import (
-    ConfigurationMessage,
     ConfigurationPeers,
+    ConfigurationResponse,
 )
 from ebonyhaven_node._configuration_metrics import ConfigurationMetrics
-from ebonyhaven_node._configured import ConfigurationInForce
 from ebonyhaven_store import Row, RowSet, Unavailable
 from prometheus_client import CollectorRegistry
 from twisted.internet.defer import Deferred, fail, succeed
@@ -34,7 +34,7 @@
 
 
 class FakeTable:
-    """Answers reads of changes with one row, or not at all."""
+    """Returns one row from reads of changes, or fails while there is none."""
 
     def __init__(self):
         self.row: Row | None = None
@@ -51,116 +51,121 @@
 
 
 class FakePeers(ConfigurationPeers):
-    """Notes what is asked and answered."""
+    """Records the requests and responses that are sent."""
 
     def __init__(self, count: int):
         self.names = [f"p{number}" for number in range(count)]
-        self.asked: list[str] = []
-        self.answers: list[ConfigurationMessage] = []
+        self.requested: list[str] = []
+        self.responses: list[ConfigurationResponse] = []
         self.announced = 0
 
     def list_names(self) -> list[str]:
         return list(self.names)
 
-    def count_listed(self) -> int:
+    def count_listed_instances(self) -> int:
         return len(self.names) + 1
 
     def announce(self) -> None:
         self.announced += 1
 
-    def ask(self, name: str, held_version: int, incarnation: int) -> None:
+    def send_request(self, name: str, content_version: int, incarnation: int) -> None:
         assert incarnation == INCARNATION
-        self.asked.append(name)
+        self.requested.append(name)
 
-    def answer(self, name: str, message: ConfigurationMessage) -> None:
-        self.answers.append(message)
+    def send_response(self, name: str, response: ConfigurationResponse) -> None:
+        self.responses.append(response)
 
 
 class Instance:
-    """A controller on a clock that the test moves."""
+    """Controller on a clock that the test advances."""
 
     def __init__(self, peers: int = 4):
         self.clock = Clock()
         self.table = FakeTable()
         self.peers = FakePeers(peers)
-        self.in_force = ConfigurationInForce()
+        self.configuration = ActiveConfiguration()
         self.controller = ConfigurationController(
             table=self.table,
-            configuration=self.in_force,
+            configuration=self.configuration,
             incarnation=INCARNATION,
             reactor=self.clock,
             rng=random.Random(1),
             metrics=ConfigurationMetrics(CollectorRegistry()),
         )
         Deferred.fromCoroutine(self.controller.run())
-        self.controller.connect(self.peers)
+        self.controller.connect_peers(self.peers)
 
     def read(self) -> None:
-        self.clock.advance(SHORTEST_PERIOD_S)
+        self.clock.advance(MIN_READ_PERIOD_S)
 
-    def tell(self, name: str, version: int, *, answers: int = INCARNATION) -> None:
+    def respond(
+        self, name: str, version: int, *, request_incarnation: int = INCARNATION
+    ) -> None:
         entry = make_entry(version)
-        message = ConfigurationMessage(
-            version=version, highest_version=version, answers=answers, entry=entry
+        response = ConfigurationResponse(
+            version=version,
+            highest_version=version,
+            request_incarnation=request_incarnation,
+            entry=entry,
         )
-        self.controller.receive_answer(name, message)
+        self.controller.receive_response(name, response)
 
 
-def test_malformed_row_is_refused_and_a_later_version_taken():
+def test_malformed_row_is_rejected_and_a_later_version_activated():
     instance = Instance()
     instance.table.write({"version": 1}, 1)
     instance.read()
-    assert instance.in_force.version == 0
+    assert instance.configuration.version == 0
     instance.table.write(make_entry(2, {"classes": 3}).serialize(), 2)
     instance.read()
-    assert instance.in_force.version == 0
+    assert instance.configuration.version == 0
     instance.table.write(make_entry(3).serialize(), 3)
     instance.read()
-    assert instance.in_force.version == 3
+    assert instance.configuration.version == 3
     assert instance.peers.announced == 1
 
 
-def test_starting_instance_waits_for_more_than_half():
+def test_starting_instance_requires_responses_of_more_than_half():
     instance = Instance(peers=4)
-    instance.tell("p0", 1)
-    instance.tell("p1", 2)
-    instance.tell("p2", 2, answers=INCARNATION - 1)
-    assert instance.in_force.version == 0
-    instance.tell("p3", 1)
-    assert instance.in_force.version == 2
+    instance.respond("p0", 1)
+    instance.respond("p1", 2)
+    instance.respond("p2", 2, request_incarnation=INCARNATION - 1)
+    assert instance.configuration.version == 0
+    instance.respond("p3", 1)
+    assert instance.configuration.version == 2
 
 
-def test_starting_instance_asks_in_batches_while_the_table_is_out():
-    instance = Instance(peers=3 * ASK_BATCH)
+def test_starting_instance_queries_peers_in_batches_during_a_table_outage():
+    instance = Instance(peers=3 * REQUEST_BATCH_SIZE)
     instance.read()
-    assert 0 < len(instance.peers.asked) <= 4 * ASK_BATCH
-    instance.clock.pump([SHORTEST_PERIOD_S] * 10)
-    assert set(instance.peers.asked) == set(instance.peers.names)
+    assert 0 < len(instance.peers.requested) <= 4 * REQUEST_BATCH_SIZE
+    instance.clock.pump([MIN_READ_PERIOD_S] * 10)
+    assert set(instance.peers.requested) == set(instance.peers.names)
 
 
-def test_running_instance_asks_whoever_has_a_higher_version_and_goes_on_to_it():
+def test_running_instance_requests_and_activates_a_higher_version():
     instance = Instance()
     instance.table.write(make_entry(1).serialize(), 1)
     instance.read()
-    instance.peers.asked.clear()
+    instance.peers.requested.clear()
     instance.controller.receive_version("p2", 2)
-    assert instance.peers.asked == ["p2"]
-    instance.tell("p2", 2, answers=0)
-    assert instance.in_force.version == 2
+    assert instance.peers.requested == ["p2"]
+    instance.respond("p2", 2, request_incarnation=0)
+    assert instance.configuration.version == 2
     instance.read()
-    instance.tell("p1", 1)
-    assert instance.in_force.version == 2
+    instance.respond("p1", 1)
+    assert instance.configuration.version == 2
 
 
-def test_question_is_answered_with_content_that_is_lacking():
+def test_response_includes_the_content_only_of_a_newer_version():
     instance = Instance()
-    instance.controller.receive_question("p0", 5, 0)
-    assert instance.peers.answers[-1].version == 0
+    instance.controller.receive_request("p0", 5, 0)
+    assert instance.peers.responses[-1].version == 0
     instance.table.write(make_entry(4).serialize(), 1)
     instance.read()
-    instance.controller.receive_question("p0", 5, 3)
-    instance.controller.receive_question("p0", 5, 4)
-    with_content, without = instance.peers.answers[-2:]
+    instance.controller.receive_request("p0", 5, 3)
+    instance.controller.receive_request("p0", 5, 4)
+    with_content, without_content = instance.peers.responses[-2:]
     assert with_content.entry.version == 4
-    assert with_content.answers == 5
-    assert without.entry is None
+    assert with_content.request_incarnation == 5
+    assert without_content.entry is None
--- a/tests/node/test_leases.py
+++ b/tests/node/test_leases.py
@@ -7,10 +7,10 @@
 from ebonyhaven_node._leases import (
     Candidacy,
     LeaseController,
+    LeaseIdentity,
     LeaseMetrics,
-    LeaseOwner,
 )
-from ebonyhaven_node._pool_controllers import CANDIDATES, choose_candidates
+from ebonyhaven_node._pool_controllers import CANDIDATES_PER_LEASE, choose_candidates
 from ebonyhaven_store import PlatformTransport, TableClient
 from prometheus_client import CollectorRegistry
 from twisted.internet import reactor, task
@@ -20,26 +20,26 @@
 from tests.store_client.platform_process import run_platform, set_faults
 
 TERMS = LeaseTiming(duration_s=600.0, renew_after_s=0.01, safety_margin_s=1.0)
-LOST_ANSWERS = 3
+LOST_RESPONSES = 3
 
 
-class EveryoneContends(Candidacy):
+class AlwaysCandidate(Candidacy):
     def is_candidate(self, lease: str) -> bool:
         return True
 
 
 class Contender:
-    """One instance with its lease controller and metrics."""
+    """Lease controller and metrics of one instance."""
 
     def __init__(self, name: str, transport: PlatformTransport):
         self.registry = CollectorRegistry()
         self.lease = LeaseController(
             lease="orders",
-            owner=LeaseOwner(name, 1),
+            owner=LeaseIdentity(name, 1),
             table=TableClient(transport),
             reactor=reactor,
             rng=random.Random(name),
-            candidacy=EveryoneContends(),
+            candidacy=AlwaysCandidate(),
             metrics=LeaseMetrics(self.registry),
             terms=TERMS,
         )
@@ -54,7 +54,7 @@
         await task.deferLater(reactor, 0.02)
 
 
-async def contend(address: str, check) -> None:
+async def run_contenders(address: str, check) -> None:
     transport = PlatformTransport(reactor, address, timeout_s=20.0)
     contenders = [Contender(name, transport) for name in ("a", "b")]
     for contender in contenders:
@@ -72,12 +72,12 @@
     return holder
 
 
-def test_holder_keeps_its_lease_through_lost_confirmations():
+def test_holder_keeps_its_lease_when_write_responses_are_lost():
     async def check(contenders: list[Contender]) -> None:
         await wait_until(lambda: any(item.lease.is_held() for item in contenders))
         holder = find_holder(contenders)
-        set_faults(address, lose_answers=LOST_ANSWERS)
-        await wait_until(lambda: holder.count_writes("unconfirmed") == LOST_ANSWERS)
+        set_faults(address, lose_answers=LOST_RESPONSES)
+        await wait_until(lambda: holder.count_writes("unconfirmed") == LOST_RESPONSES)
         done = holder.count_writes("done") or 0
         await wait_until(lambda: (holder.count_writes("done") or 0) > done)
         assert find_holder(contenders) is holder
@@ -85,20 +85,20 @@
         assert not holder.count_writes("conflict")
 
     with run_platform() as address:
-        run_in_reactor(contend, address, check)
+        run_in_reactor(run_contenders, address, check)
 
 
-def test_lost_confirmation_of_an_acquisition_is_read_back():
+def test_acquisition_with_a_lost_response_is_confirmed_by_a_read():
     async def check(contenders: list[Contender]) -> None:
         await wait_until(lambda: any(item.lease.is_held() for item in contenders))
         assert find_holder(contenders).lease.fence == 1
 
     with run_platform() as address:
         set_faults(address, lose_answers=1)
-        run_in_reactor(contend, address, check)
+        run_in_reactor(run_contenders, address, check)
 
 
-def test_released_lease_is_taken_with_a_higher_fence():
+def test_released_lease_is_acquired_with_a_higher_fence():
     async def check(contenders: list[Contender]) -> None:
         await wait_until(lambda: any(item.lease.is_held() for item in contenders))
         holder = find_holder(contenders)
@@ -109,10 +109,10 @@
         assert other.lease.fence == 2
 
     with run_platform() as address:
-        run_in_reactor(contend, address, check)
+        run_in_reactor(run_contenders, address, check)
 
 
-def test_body_is_withheld_once_the_lease_has_ended():
+def test_order_is_not_written_after_the_lease_has_expired():
     written: list[bytes] = []
 
     class Consumer:
@@ -127,9 +127,9 @@
     assert written == [b"order"]
 
 
-def test_few_instances_contend_and_differ_between_leases():
+def test_candidates_are_few_and_differ_between_leases():
     instances = [f"n{number}" for number in range(390)]
     chosen = [tuple(choose_candidates(f"l{n}", instances)) for n in range(10)]
-    assert all(len(names) == CANDIDATES for names in chosen)
+    assert all(len(names) == CANDIDATES_PER_LEASE for names in chosen)
     assert len(set(chosen)) == len(chosen)
     assert choose_candidates("l0", reversed(instances)) == list(chosen[0])
--- a/tests/node/test_policy_scheduling.py
+++ b/tests/node/test_policy_scheduling.py
@@ -10,10 +10,10 @@
     build_scheduler,
     parse_declaration,
 )
-from ebonyhaven_node._configured import ConfigurationInForce
-from ebonyhaven_node._policy_scheduling import PolicyScheduling, hash_prefixes
+from ebonyhaven_node._active_configuration import ActiveConfiguration
+from ebonyhaven_node._policy_scheduling import PolicySlotScheduler, hash_prefixes
 from ebonyhaven_node._requests import GenerationRequest
-from ebonyhaven_node._scheduling import SlotWish
+from ebonyhaven_node._scheduling import SlotRequest
 from ebonyhaven_node._servers import BackendServers, ReportedLoad
 from ebonyhaven_standins.engine import hash_prefixes as hash_engine_prefixes
 from ebonyhaven_store import ListedProcess
@@ -21,8 +21,8 @@
 from twisted.internet.defer import CancelledError, ensureDeferred
 
 NOW = 100.0
-LOWER_ENGINE_PRIORITY = 3  # the class is second, its only workspace is not behind
-CLOCKS = (1.0, 100.0, 1e6)  # a machine that just started, and one long up
+LOWER_ENGINE_PRIORITY = 3  # second class, and its only workspace is not underserved
+CLOCK_TIMES_S = (1.0, 100.0, 1e6)  # from shortly after boot to a long uptime
 
 DECLARATION = {
     "classes": {
@@ -48,10 +48,10 @@
 }
 
 
-def build_scheduling(servers=1, capacity=2, own_load=0.0, now=NOW):
-    configuration = ConfigurationInForce()
-    known = BackendServers()
-    scheduling = PolicyScheduling(
+def build_scheduling(servers=1, capacity=2, instance_load=0.0, now=NOW):
+    configuration = ActiveConfiguration()
+    known_servers = BackendServers()
+    scheduling = PolicySlotScheduler(
         scheduler=build_scheduler(
             SchedulingAlgorithm.FAIR,
             {},
@@ -59,14 +59,14 @@
             random_source=random.Random(1),
             now=now,
         ),
-        servers=known,
+        servers=known_servers,
         configuration=configuration,
         reactor=task.Clock(),
-        read_own_load=lambda: own_load,
+        read_instance_load=lambda: instance_load,
         clock=lambda: now,
     )
     configuration.replace(parse_declaration(DECLARATION), 1)
-    known.merge_list(
+    known_servers.merge_list(
         ListedProcess(
             name=f"s{index}",
             kind="backend_server",
@@ -79,11 +79,11 @@
         for index in range(servers)
     )
     for index in range(servers):
-        known.find(f"s{index}").record_load(ReportedLoad(0, 0, capacity, 0.03))
-    return scheduling, known
+        known_servers.find(f"s{index}").record_load(ReportedLoad(0, 0, capacity, 0.03))
+    return scheduling, known_servers
 
 
-def make_wish(class_name="analysis", now=NOW, **options):
+def make_slot_request(class_name="analysis", now=NOW, **options):
     request = GenerationRequest(
         workspace="studio-a",
         class_name=class_name,
@@ -97,7 +97,7 @@
         last_event=None,
         received=None,
     )
-    return SlotWish(
+    return SlotRequest(
         request=request,
         pools=frozenset({"drafting"}),
         deadline=now,
@@ -107,26 +107,26 @@
 
 
 def acquire(scheduling, *args, **options):
-    granted = ensureDeferred(scheduling.acquire(make_wish(*args, **options)))
+    granted = ensureDeferred(scheduling.acquire(make_slot_request(*args, **options)))
     results = []
     granted.addBoth(results.append)
     return granted, results
 
 
 def test_slot_is_counted_until_it_is_released():
-    scheduling, known = build_scheduling()
+    scheduling, known_servers = build_scheduling()
     _, results = acquire(scheduling)
     slot = results[0]
-    assert known.find("s0").in_flight == 1
+    assert known_servers.find("s0").in_flight == 1
     slot.record_tokens(3)
     slot.release()
     slot.release()
-    assert known.find("s0").in_flight == 0
+    assert known_servers.find("s0").in_flight == 0
     assert len(scheduling.scheduler.dispatcher.in_flight_requests) == 0
 
 
-def test_waiting_request_gets_the_slot_that_is_released():
-    for now in CLOCKS:
+def test_released_slot_is_assigned_to_the_waiting_request():
+    for now in CLOCK_TIMES_S:
         scheduling, _ = build_scheduling(capacity=2, now=now)
         _, first = acquire(scheduling, now=now)
         _, second = acquire(scheduling, now=now)
@@ -146,7 +146,7 @@
 
 
 def test_overloaded_instance_refuses_new_requests_and_resumes_streams():
-    scheduling, _ = build_scheduling(own_load=0.99)
+    scheduling, _ = build_scheduling(instance_load=0.99)
     _, results = acquire(scheduling)
     assert results[0].value.outcome.tag is OutcomeTag.NOT_RUN
     assert results[0].value.outcome.retry_after_s > 0.0
@@ -154,23 +154,23 @@
     assert resumed[0].held
 
 
-def test_cancelled_wait_leaves_no_request_behind():
-    scheduling, known = build_scheduling(capacity=2)
+def test_cancelled_acquisition_removes_the_queued_request():
+    scheduling, known_servers = build_scheduling(capacity=2)
     _, first = acquire(scheduling)
     granted, second = acquire(scheduling)
     granted.cancel()
     assert second[0].check(CancelledError)
     assert len(scheduling.scheduler) == 0
     first[0].release()
-    assert known.find("s0").in_flight == 0
+    assert known_servers.find("s0").in_flight == 0
 
 
-def test_unreachable_server_gets_no_work_until_it_answers():
-    scheduling, known = build_scheduling(servers=2)
-    known.find("s0").record_unreachable(NOW)
+def test_unreachable_server_receives_no_work_until_it_responds():
+    scheduling, known_servers = build_scheduling(servers=2)
+    known_servers.find("s0").record_unreachable(NOW)
     _, results = acquire(scheduling)
     assert results[0].server.name == "s1"
-    known.find("s0").record_answer()
+    known_servers.find("s0").record_answer()
     _, results = acquire(scheduling)
     assert results[0].server.name == "s0"
 
@@ -191,9 +191,9 @@
     assert outcomes[-1].check(RequestFailure)
 
 
-def test_prefixes_are_named_as_engines_name_them():
-    request = make_wish().request
+def test_prefix_digests_match_those_of_engines():
+    request = make_slot_request().request
     digests, tokens = hash_prefixes(request)
     assert tokens == (16, 32, 64)
-    named = hash_engine_prefixes(request.prompt)
-    assert list(digests) == [named[0], named[1], named[3]]
+    engine_digests = hash_engine_prefixes(request.prompt)
+    assert list(digests) == [engine_digests[0], engine_digests[1], engine_digests[3]]
