--- a/packages/node/src/ebonyhaven_node/__init__.py
+++ b/packages/node/src/ebonyhaven_node/__init__.py
@@ -2,7 +2,7 @@
 
 from ebonyhaven_node._channels import ChannelMetrics, ChannelOptions, Channels
 from ebonyhaven_node._digests import Digest, DigestSet, TableDigest, fit_entries
-from ebonyhaven_node._frames import Frame, FrameError, Kind
+from ebonyhaven_node._frames import Frame, FrameError, FrameKind
 from ebonyhaven_node._log_writer import LogLosses, configure_logs
 from ebonyhaven_node._membership import MembershipController
 from ebonyhaven_node._own_record import make_own_record
@@ -15,7 +15,7 @@
     "DigestSet",
     "Frame",
     "FrameError",
-    "Kind",
+    "FrameKind",
     "LogLosses",
     "MembershipController",
     "TableDigest",
--- a/packages/node/src/ebonyhaven_node/_channels.py
+++ b/packages/node/src/ebonyhaven_node/_channels.py
@@ -17,7 +17,7 @@
     NNG_HEADER_BYTES,
     Frame,
     FrameError,
-    Kind,
+    FrameKind,
     decode_frame,
     encode_frame,
 )
@@ -66,18 +66,18 @@
         self._bound_messages = {
             (direction, kind): self.messages.labels(direction, kind.name.lower())
             for direction in DIRECTIONS
-            for kind in Kind
+            for kind in FrameKind
         }
         self._bound_bytes = {each: self.bytes.labels(each) for each in DIRECTIONS}
 
-    def count_message(self, direction: str, kind: Kind, size: int) -> None:
+    def count_message(self, direction: str, kind: FrameKind, size: int) -> None:
         """Count one message.
 
         Parameters
         ----------
         direction : str
             ``"sent"`` or ``"received"``.
-        kind : Kind
+        kind : FrameKind
         size : int
             Bytes with the length header.
         """
@@ -163,7 +163,7 @@
         self._metrics = metrics
         self._rng = rng
         self._options = options or ChannelOptions()
-        self._handlers: dict[Kind, FrameHandler] = {}
+        self._handlers: dict[FrameKind, FrameHandler] = {}
         self._connections: dict[str, _Connection] = {}
         self._socket = pynng.Pull0(
             recv_buffer_size=RECEIVE_QUEUE_MESSAGES, recv_max_size=MAX_MESSAGE_BYTES
@@ -176,18 +176,18 @@
         self._descriptor = _ReceiveDescriptor(self._socket, self._receive_waiting)
         reactor.addReader(self._descriptor)
 
-    def subscribe(self, kind: Kind, handler: FrameHandler) -> None:
+    def subscribe(self, kind: FrameKind, handler: FrameHandler) -> None:
         """Set what is called with each message of a kind.
 
         Parameters
         ----------
-        kind : Kind
+        kind : FrameKind
         handler : callable
             Gets the `Frame`.
         """
         self._handlers[kind] = handler
 
-    def send(self, address: str, frame: Frame, *, fresh: bool = False) -> bool:
+    def send(self, address: str, frame: Frame, *, new_connection: bool = False) -> bool:
         """Send a message, or drop it.
 
         Parameters
@@ -195,7 +195,7 @@
         address : str
             Control address of the receiver.
         frame : Frame
-        fresh : bool
+        new_connection : bool
             Whether to open a new connection for it.
 
         Returns
@@ -207,7 +207,7 @@
             self._metrics.dropped.labels("development_loss").inc()
             return False
         data = encode_frame(frame)
-        if fresh:
+        if new_connection:
             self._disconnect(address)
         connection = self._connect(address)
         try:
--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -24,7 +24,7 @@
 from ebonyhaven_node._active_configuration import ActiveConfiguration
 from ebonyhaven_node._channels import ChannelMetrics, ChannelOptions, Channels
 from ebonyhaven_node._claims import ClaimStore
-from ebonyhaven_node._control_plane import ControlParts, start_control_plane
+from ebonyhaven_node._control_plane import ControlPlaneDependencies, start_control_plane
 from ebonyhaven_node._crash_reports import CrashReports
 from ebonyhaven_node._engines import EngineClient
 from ebonyhaven_node._filter_chain import build_chain
@@ -51,7 +51,7 @@
 from ebonyhaven_node._servers import BackendServers
 from ebonyhaven_node._services import ServiceRelay
 from ebonyhaven_node._settings import Settings
-from ebonyhaven_node._sharing import SchedulingDigests
+from ebonyhaven_node._sharing import SchedulingDigestExchange
 from ebonyhaven_node._web import CallerInterface, InstanceState
 
 CLAIM_TIMEOUT_S = 10.0  # a slow table still confirms claims
@@ -193,7 +193,7 @@
         self._stack.callback(listing.stop)
         ensureDeferred(listing.run())
         self._pools = start_control_plane(
-            ControlParts(
+            ControlPlaneDependencies(
                 owner=LeaseIdentity(self._state.instance, self._state.incarnation),
                 transport=transport,
                 membership=self._membership,
@@ -258,13 +258,13 @@
         return scheduling
 
     def _start_load_exchange(self, scheduling: PolicySlotScheduler) -> None:
-        digests = SchedulingDigests(
+        digests = SchedulingDigestExchange(
             membership=self._membership,
             channels=self._channels,
             scheduler=scheduling.scheduler,
             reactor=self._reactor,
             rng=self._rng,
-            on_news=scheduling.process_queue,
+            on_update=scheduling.process_queue,
         )
         poller = LoadPoller(
             servers=self._servers,
--- a/packages/node/src/ebonyhaven_node/_configuration_peers.py
+++ b/packages/node/src/ebonyhaven_node/_configuration_peers.py
@@ -13,7 +13,7 @@
     ConfigurationResponse,
 )
 from ebonyhaven_node._digests import Digest
-from ebonyhaven_node._frames import Frame, Kind
+from ebonyhaven_node._frames import Frame, FrameKind
 from ebonyhaven_node._membership import MembershipController
 from ebonyhaven_node._servers import BackendServers
 
@@ -29,7 +29,7 @@
     """
 
     code = DIGEST_CODE
-    first = True
+    has_priority = True
 
     def __init__(self, controller: ConfigurationController):
         self._controller = controller
@@ -67,8 +67,8 @@
         self._membership = membership
         self._servers = servers
         membership.add_digest(ConfigurationDigest(controller))
-        channels.subscribe(Kind.CONFIGURATION, self._receive_response)
-        channels.subscribe(Kind.CONFIGURATION_REQUEST, self._receive_request)
+        channels.subscribe(FrameKind.CONFIGURATION, self._receive_response)
+        channels.subscribe(FrameKind.CONFIGURATION_REQUEST, self._receive_request)
 
     def list_names(self) -> list[str]:
         """See `ConfigurationPeers.list_names`."""
@@ -78,19 +78,19 @@
 
     def count_listed_instances(self) -> int:
         """See `ConfigurationPeers.count_listed_instances`."""
-        if not self._servers.has_whole_list:
+        if not self._servers.has_complete_list:
             return 0
         listed = {item.name for item in self._servers.instances}
         return len(listed | {self._membership.own.name})
 
     def announce(self) -> None:
         """See `ConfigurationPeers.announce`."""
-        self._membership.hasten()
+        self._membership.schedule_heartbeats()
 
     def send_request(self, name: str, content_version: int, incarnation: int) -> None:
         """See `ConfigurationPeers.send_request`."""
         payload = [content_version, incarnation]
-        self._membership.send(name, Kind.CONFIGURATION_REQUEST, payload)
+        self._membership.send(name, FrameKind.CONFIGURATION_REQUEST, payload)
 
     def send_response(self, name: str, response: ConfigurationResponse) -> None:
         """See `ConfigurationPeers.send_response`."""
@@ -101,7 +101,7 @@
             response.request_incarnation,
             entry,
         ]
-        self._membership.send(name, Kind.CONFIGURATION, payload)
+        self._membership.send(name, FrameKind.CONFIGURATION, payload)
 
     def _receive_request(self, frame: Frame) -> None:
         content_version, incarnation = frame.payload
--- a/packages/node/src/ebonyhaven_node/_control_plane.py
+++ b/packages/node/src/ebonyhaven_node/_control_plane.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class ControlParts:
+class ControlPlaneDependencies:
     """What the controllers are built from.
 
     Parameters
@@ -54,13 +54,13 @@
 
 
 def start_control_plane(
-    parts: ControlParts, stack: contextlib.ExitStack
+    parts: ControlPlaneDependencies, stack: contextlib.ExitStack
 ) -> PoolControllers:
     """Start the controllers; closing the stack stops them.
 
     Parameters
     ----------
-    parts : ControlParts
+    parts : ControlPlaneDependencies
     stack : contextlib.ExitStack
 
     Returns
@@ -77,7 +77,7 @@
     return pools
 
 
-def _build_configuration(parts: ControlParts) -> ConfigurationController:
+def _build_configuration(parts: ControlPlaneDependencies) -> ConfigurationController:
     controller = ConfigurationController(
         table=TableClient(parts.transport),
         configuration=parts.configuration,
@@ -96,7 +96,7 @@
     return controller
 
 
-def _build_pool_controllers(parts: ControlParts) -> PoolControllers:
+def _build_pool_controllers(parts: ControlPlaneDependencies) -> PoolControllers:
     metrics = LeaseMetrics(parts.registry)
     candidacy = RendezvousCandidacy(
         parts.owner.name, lambda: _list_live_names(parts.membership)
--- a/packages/node/src/ebonyhaven_node/_digests.py
+++ b/packages/node/src/ebonyhaven_node/_digests.py
@@ -21,16 +21,16 @@
     ----------
     code : str
         One letter that names it in messages.
-    first : bool
+    has_priority : bool
         Whether it has a place in each heartbeat before the others, which take
         turns in the room that is left.
-    own_budget_bytes : int
+    dedicated_budget_bytes : int
         Room beside the shared one, for news that are rare; 0 for none.
     """
 
     code: str
-    first: bool = False
-    own_budget_bytes: int = 0
+    has_priority: bool = False
+    dedicated_budget_bytes: int = 0
 
     @abc.abstractmethod
     def collect(self, budget_bytes: int) -> Any:
@@ -168,7 +168,7 @@
         ----------
         digest : Digest
         """
-        group = self._first if digest.first else self._in_turn
+        group = self._first if digest.has_priority else self._in_turn
         group.append(digest)
 
     def collect(self) -> dict[str, Any]:
@@ -176,7 +176,7 @@
         payloads: dict[str, Any] = {}
         budget_bytes = self._budget_bytes
         for digest in self._first + self._in_turn:
-            own_bytes = digest.own_budget_bytes
+            own_bytes = digest.dedicated_budget_bytes
             used_bytes = self._collect_one(digest, own_bytes or budget_bytes, payloads)
             if not own_bytes:
                 budget_bytes -= used_bytes
--- a/packages/node/src/ebonyhaven_node/_frames.py
+++ b/packages/node/src/ebonyhaven_node/_frames.py
@@ -9,7 +9,7 @@
 NNG_HEADER_BYTES = 8
 
 
-class Kind(enum.StrEnum):
+class FrameKind(enum.StrEnum):
     """Kind of a message; the value is what goes over the wire."""
 
     HEARTBEAT = "h"
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    kind : Kind
+    kind : FrameKind
     sender : str
         Name of the sending instance.
     incarnation : int
@@ -47,7 +47,7 @@
         JSON value.
     """
 
-    kind: Kind
+    kind: FrameKind
     sender: str
     incarnation: int
     payload: Any
@@ -103,7 +103,7 @@
     """
     try:
         kind, sender, incarnation, payload = json.loads(data)
-        frame = Frame(Kind(kind), sender, incarnation, payload)
+        frame = Frame(FrameKind(kind), sender, incarnation, payload)
     except (TypeError, ValueError) as error:
         raise FrameError(str(error)) from error
     if not isinstance(sender, str) or not isinstance(incarnation, int):
--- a/packages/node/src/ebonyhaven_node/_listing.py
+++ b/packages/node/src/ebonyhaven_node/_listing.py
@@ -24,7 +24,7 @@
 
 from ebonyhaven_node._channels import Channels
 from ebonyhaven_node._digests import TableDigest
-from ebonyhaven_node._frames import Frame, Kind
+from ebonyhaven_node._frames import Frame, FrameKind
 from ebonyhaven_node._membership import MembershipController
 from ebonyhaven_node._servers import BackendServers
 
@@ -101,10 +101,10 @@
             clock=clock,
             merge=self._merge_entry,
         )
-        digest.own_budget_bytes = DIGEST_BYTES
+        digest.dedicated_budget_bytes = DIGEST_BYTES
         membership.add_digest(digest)
-        channels.subscribe(Kind.LISTING_REQUEST, self._answer_request)
-        channels.subscribe(Kind.LISTING, self._receive_listing)
+        channels.subscribe(FrameKind.LISTING_REQUEST, self._answer_request)
+        channels.subscribe(FrameKind.LISTING, self._receive_listing)
 
     async def run(self) -> None:
         """Read the list when it is due, until `stop` is called."""
@@ -168,14 +168,14 @@
             publish=not all_instances_read(len(self._list_live())),
         )
         if changed:
-            self._membership.hasten()
+            self._membership.schedule_heartbeats()
         self._apply()
 
     def _merge_entry(self, entry: GossipEntry) -> bool:
         if entry.value is not None and entry.key:
             _decode_process(entry.key, entry.value)
         changed = self._listing.merge_entry(entry, self._clock())
-        self._servers.has_whole_list = self._listing.is_complete()
+        self._servers.has_complete_list = self._listing.is_complete()
         if changed and (self._apply_call is None or not self._apply_call.active()):
             self._apply_call = self._reactor.callLater(0, self._apply)
         return changed
@@ -187,7 +187,7 @@
         ]
         instances = tuple(item for item in processes if item.kind == "instance")
         self._servers.instances = instances
-        self._servers.has_whole_list = self._listing.is_complete()
+        self._servers.has_complete_list = self._listing.is_complete()
         self._membership.merge_list(instances)
         self._servers.merge_list(
             item for item in processes if item.kind == "backend_server"
@@ -197,13 +197,13 @@
         neighbours = self._membership.neighbours
         if neighbours:
             name = self._rng.choice(neighbours)
-            self._membership.send(name, Kind.LISTING_REQUEST, None)
+            self._membership.send(name, FrameKind.LISTING_REQUEST, None)
 
     def _answer_request(self, frame: Frame) -> None:
         entries = self._listing.entries()
         for first in range(0, len(entries), MAX_ENTRIES_A_MESSAGE):
             part = entries[first : first + MAX_ENTRIES_A_MESSAGE]
-            self._membership.send(frame.sender, Kind.LISTING, part)
+            self._membership.send(frame.sender, FrameKind.LISTING, part)
 
     def _receive_listing(self, frame: Frame) -> None:
         for key, version, value in frame.payload:
--- a/packages/node/src/ebonyhaven_node/_membership.py
+++ b/packages/node/src/ebonyhaven_node/_membership.py
@@ -25,9 +25,9 @@
 from ebonyhaven_node._channels import Channels
 from ebonyhaven_node._digests import Digest, DigestSet
 from ebonyhaven_node._entry_lists import EntryLists
-from ebonyhaven_node._frames import Frame, FrameError, Kind
+from ebonyhaven_node._frames import Frame, FrameError, FrameKind
 from ebonyhaven_node._membership_codec import (
-    KINDS,
+    KIND_BY_MESSAGE_TYPE,
     decode_heartbeat,
     decode_message,
     encode_heartbeat,
@@ -90,7 +90,7 @@
         self._tick_call: Any = None
         self._ticks = 0
         self._superseded = False
-        for kind in KINDS.values():
+        for kind in KIND_BY_MESSAGE_TYPE.values():
             channels.subscribe(kind, self._receive)
 
     @property
@@ -163,7 +163,7 @@
         }
         self._membership.set_listed(self._seeds | addresses)
 
-    def withhold_entries(self, names: Iterable[str]) -> None:
+    def set_excluded_entries(self, names: Iterable[str]) -> None:
         """Set the instances that callers are not told to use.
 
         Parameters
@@ -200,14 +200,14 @@
         """
         self._load_source = source
 
-    def send(self, name: str, kind: Kind, payload: Any) -> bool:
+    def send(self, name: str, kind: FrameKind, payload: Any) -> bool:
         """Send a message of another controller to an instance.
 
         Parameters
         ----------
         name : str
             Name of the receiver.
-        kind : Kind
+        kind : FrameKind
         payload : object
             JSON value.
 
@@ -222,7 +222,7 @@
         frame = Frame(kind, self.own.name, self.own.incarnation, payload)
         return self._channels.send(record.control_address, frame)
 
-    def hasten(self) -> None:
+    def schedule_heartbeats(self) -> None:
         """Send heartbeats to all neighbours soon, as a digest has news."""
         self._schedule_flush(all_targets=True)
 
@@ -255,7 +255,7 @@
         self._handle_changes(now)
 
     def _decode(self, frame: Frame) -> MembershipMessage:
-        if frame.kind != Kind.HEARTBEAT:
+        if frame.kind != FrameKind.HEARTBEAT:
             return decode_message(frame.kind, frame.payload)
         heartbeat, digests = decode_heartbeat(frame.payload)
         if digests:
@@ -305,6 +305,8 @@
             payload = encode_heartbeat(message, self._digests.collect())
         else:
             payload = encode_message(message)
-        kind = KINDS[type(message)]
+        kind = KIND_BY_MESSAGE_TYPE[type(message)]
         frame = Frame(kind, self.own.name, self.own.incarnation, payload)
-        self._channels.send(envelope.address, frame, fresh=envelope.new_connection)
+        self._channels.send(
+            envelope.address, frame, new_connection=envelope.new_connection
+        )
--- a/packages/node/src/ebonyhaven_node/_membership_codec.py
+++ b/packages/node/src/ebonyhaven_node/_membership_codec.py
@@ -19,16 +19,16 @@
     TableRequest,
 )
 
-from ebonyhaven_node._frames import FrameError, Kind
-
-KINDS: dict[type, Kind] = {
-    Heartbeat: Kind.HEARTBEAT,
-    Probe: Kind.PROBE,
-    ProbeAnswer: Kind.PROBE_ANSWER,
-    Query: Kind.QUERY,
-    QueryAnswer: Kind.QUERY_ANSWER,
-    TableRequest: Kind.TABLE_REQUEST,
-    TableAnswer: Kind.TABLE,
+from ebonyhaven_node._frames import FrameError, FrameKind
+
+KIND_BY_MESSAGE_TYPE: dict[type, FrameKind] = {
+    Heartbeat: FrameKind.HEARTBEAT,
+    Probe: FrameKind.PROBE,
+    ProbeAnswer: FrameKind.PROBE_ANSWER,
+    Query: FrameKind.QUERY,
+    QueryAnswer: FrameKind.QUERY_ANSWER,
+    TableRequest: FrameKind.TABLE_REQUEST,
+    TableAnswer: FrameKind.TABLE,
 }
 _HEARTBEAT_FIELDS = 5
 
@@ -125,12 +125,12 @@
     raise TypeError(f"no payload for {type(message).__name__}")
 
 
-def decode_message(kind: Kind, payload: Any) -> MembershipMessage:
+def decode_message(kind: FrameKind, payload: Any) -> MembershipMessage:
     """Return the message of a payload, for any kind but a heartbeat.
 
     Parameters
     ----------
-    kind : Kind
+    kind : FrameKind
     payload : object
 
     Returns
@@ -148,20 +148,20 @@
         raise FrameError(str(error)) from error
 
 
-def _decode(kind: Kind, payload: Any) -> MembershipMessage:
+def _decode(kind: FrameKind, payload: Any) -> MembershipMessage:
     match kind:
-        case Kind.PROBE:
+        case FrameKind.PROBE:
             return Probe(_decode_record(payload))
-        case Kind.PROBE_ANSWER:
+        case FrameKind.PROBE_ANSWER:
             return ProbeAnswer(_decode_record(payload))
-        case Kind.TABLE_REQUEST:
+        case FrameKind.TABLE_REQUEST:
             return TableRequest(_decode_record(payload))
-        case Kind.TABLE:
+        case FrameKind.TABLE:
             return TableAnswer(_decode_records(payload))
-        case Kind.QUERY:
+        case FrameKind.QUERY:
             record, subject = payload
             return Query(_decode_record(record), str(subject))
-        case Kind.QUERY_ANSWER:
+        case FrameKind.QUERY_ANSWER:
             return QueryAnswer(str(payload))
     raise FrameError(f"{kind.name} is no membership message")
 
--- a/packages/node/src/ebonyhaven_node/_orders.py
+++ b/packages/node/src/ebonyhaven_node/_orders.py
@@ -176,7 +176,7 @@
             else:
                 self._placement = Placement()
                 self._pending = {}
-            count = len(self._dependencies.servers.in_pools([self._pool]))
+            count = len(self._dependencies.servers.list_in_pools([self._pool]))
             round_s = max(MIN_ROUND_S, count / POOL_READS_PER_S)
             round_s *= self._dependencies.rng.uniform(1 - ROUND_JITTER_RATIO, 1)
             self._waiting = task.deferLater(self._dependencies.reactor, round_s)
@@ -212,7 +212,7 @@
                 return
 
     async def _read_states(self) -> list[ReportedState]:
-        servers = self._dependencies.servers.in_pools([self._pool])
+        servers = self._dependencies.servers.list_in_pools([self._pool])
         reads = [
             self._read_semaphore.run(
                 lambda item=item: Deferred.fromCoroutine(self._read_state(item))
--- a/packages/node/src/ebonyhaven_node/_pauses.py
+++ b/packages/node/src/ebonyhaven_node/_pauses.py
@@ -7,8 +7,8 @@
 from twisted.internet.interfaces import IReactorTime
 from twisted.internet.task import LoopingCall
 
-TICK_S = 0.5
-PAUSE_S = 2.0
+TICK_INTERVAL_S = 0.5
+PAUSE_THRESHOLD_S = 2.0
 
 
 class PauseDetector:
@@ -34,14 +34,14 @@
     def start(self) -> None:
         """Start to tick."""
         self._last_tick_at = time.monotonic()
-        self._loop.start(TICK_S, now=False)
+        self._loop.start(TICK_INTERVAL_S, now=False)
 
     def stop(self) -> None:
         """Stop to tick."""
         if self._loop.running:
             self._loop.stop()
 
-    def find_wake(self) -> float:
+    def find_pause_end(self) -> float:
         """Return the monotonic time of the last wake from a pause, seconds.
 
         Returns
@@ -50,10 +50,10 @@
             Minus infinity if there was none.
         """
         now = time.monotonic()
-        if now - self._last_tick_at > PAUSE_S:
+        if now - self._last_tick_at > PAUSE_THRESHOLD_S:
             self._woke_at = now
         return self._woke_at
 
     def _tick(self) -> None:
-        self.find_wake()
+        self.find_pause_end()
         self._last_tick_at = time.monotonic()
--- a/packages/node/src/ebonyhaven_node/_policy_scheduling.py
+++ b/packages/node/src/ebonyhaven_node/_policy_scheduling.py
@@ -341,7 +341,7 @@
                 models=_list_models(declaration.pools[server.pool]),
                 is_leaving=server.leaving,
             )
-            for server in self._servers.in_pools(declaration.pools)
+            for server in self._servers.list_in_pools(declaration.pools)
         ]
         self.scheduler.dispatcher.replace_servers(entries)
 
--- a/packages/node/src/ebonyhaven_node/_run_claims.py
+++ b/packages/node/src/ebonyhaven_node/_run_claims.py
@@ -177,7 +177,7 @@
         if may_dispatch(
             write_sent_at=claim.write_sent_at,
             deadline=deadline,
-            pause_ended_at=self._claims.pauses.find_wake(),
+            pause_ended_at=self._claims.pauses.find_pause_end(),
             now=time.monotonic(),
         ):
             return
--- a/packages/node/src/ebonyhaven_node/_servers.py
+++ b/packages/node/src/ebonyhaven_node/_servers.py
@@ -163,14 +163,14 @@
     __slots__ = (
         "_observers",
         "_servers",
-        "has_whole_list",
+        "has_complete_list",
         "instances",
         "listener",
     )
 
     def __init__(self) -> None:
         self.instances: tuple[ListedProcess, ...] = ()
-        self.has_whole_list = False
+        self.has_complete_list = False
         self._servers: dict[str, BackendServer] = {}
         self._observers: list[Callable[[], None]] = []
         self.listener: ServerListener | None = None
@@ -179,7 +179,7 @@
         """Return the server of a name, or None."""
         return self._servers.get(name)
 
-    def in_pools(self, pools: Iterable[str]) -> list[BackendServer]:
+    def list_in_pools(self, pools: Iterable[str]) -> list[BackendServer]:
         """Return the servers of the given pools."""
         wanted = frozenset(pools)
         return [item for item in self._servers.values() if item.pool in wanted]
--- a/packages/node/src/ebonyhaven_node/_services.py
+++ b/packages/node/src/ebonyhaven_node/_services.py
@@ -119,7 +119,7 @@
         now = time.monotonic()
         suitable = [
             server
-            for server in self._servers.in_pools(pools)
+            for server in self._servers.list_in_pools(pools)
             if server.name not in tried and server.accepts_work(now)
         ]
         return min(suitable, key=lambda item: item.in_flight, default=None)
--- a/packages/node/src/ebonyhaven_node/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/_sharing.py
@@ -18,13 +18,13 @@
 from twisted.internet.interfaces import IReactorTime
 
 from ebonyhaven_node._channels import Channels
-from ebonyhaven_node._frames import Frame, Kind
+from ebonyhaven_node._frames import Frame, FrameKind
 from ebonyhaven_node._membership import MembershipController
 
 PERIOD_S = 0.5
 
 
-class SchedulingDigests:
+class SchedulingDigestExchange:
     """Sends bounded digests to one random instance at a time.
 
     The cost is the same for any number of instances; `UsageLedger` scales what it
@@ -37,7 +37,7 @@
     scheduler : Scheduler
     reactor : IReactorTime
     rng : random.Random
-    on_news : callable
+    on_update : callable
         Called after each digest that was taken over.
     """
 
@@ -49,16 +49,16 @@
         scheduler: Scheduler,
         reactor: IReactorTime,
         rng: random.Random,
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
     ):
         self._membership = membership
         self._scheduler = scheduler
         self._rng = rng
-        self._on_news = on_news
+        self._on_news = on_update
         self._loop = task.LoopingCall(self._send)
         self._loop.clock = reactor
-        channels.subscribe(Kind.USAGE, self._receive_usage)
-        channels.subscribe(Kind.LOAD_DIGEST, self._receive_load)
+        channels.subscribe(FrameKind.USAGE, self._receive_usage)
+        channels.subscribe(FrameKind.LOAD_DIGEST, self._receive_load)
 
     def start(self) -> None:
         """Begin to send."""
@@ -83,10 +83,12 @@
         usage = self._scheduler.build_usage_digest(now)
         if usage:
             payload = [_round_usage(entry) for entry in usage]
-            self._membership.send(peer, Kind.USAGE, payload)
+            self._membership.send(peer, FrameKind.USAGE, payload)
         load = build_load_digest(self._scheduler.dispatcher.table, now, self._rng)
         if load:
-            self._membership.send(peer, Kind.LOAD_DIGEST, [list(each) for each in load])
+            self._membership.send(
+                peer, FrameKind.LOAD_DIGEST, [list(each) for each in load]
+            )
 
     def _receive_usage(self, frame: Frame) -> None:
         try:
--- a/packages/node/src/ebonyhaven_node/_stream_opener.py
+++ b/packages/node/src/ebonyhaven_node/_stream_opener.py
@@ -114,7 +114,9 @@
             await self._guard.check(OutcomeTag.FAILED if ran else OutcomeTag.NOT_RUN)
             self._run.generation = make_generation(self._parts.rng)
             excluded.add(slot.server.name)
-            if len(excluded) >= len(self._parts.servers.in_pools(self._targets.pools)):
+            if len(excluded) >= len(
+                self._parts.servers.list_in_pools(self._targets.pools)
+            ):
                 excluded.clear()
                 await task.deferLater(self._parts.reactor, RETRY_DELAY_S)
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_copy_exchange.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_copy_exchange.py
@@ -16,7 +16,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from ebonyhaven_node._channels import Channels
-from ebonyhaven_node._frames import Frame, Kind
+from ebonyhaven_node._frames import Frame, FrameKind
 from ebonyhaven_node._membership import MembershipController
 
 PLACE_LIFE_S = 30.0  # longer than a generation takes
@@ -53,9 +53,9 @@
         channels : Channels
         """
         self._membership = membership
-        channels.subscribe(Kind.RUN_PLACE, self._take)
-        channels.subscribe(Kind.RUN_PLACE_REQUEST, self._answer)
-        channels.subscribe(Kind.RUN_PLACE_ANSWER, self._take)
+        channels.subscribe(FrameKind.RUN_PLACE, self._take)
+        channels.subscribe(FrameKind.RUN_PLACE_REQUEST, self._answer)
+        channels.subscribe(FrameKind.RUN_PLACE_ANSWER, self._take)
 
     def tell(self, key: str, place: RunCopyLocation | None) -> None:
         """Let the keepers of a run know where its copy is.
@@ -69,7 +69,7 @@
         """
         self._places.record(key, place, self._clock())
         for name in self._choose_keepers(key):
-            self._membership.send(name, Kind.RUN_PLACE, [key, place])
+            self._membership.send(name, FrameKind.RUN_PLACE, [key, place])
 
     def forget(self, key: str) -> None:
         """Drop what this instance knows of a run.
@@ -104,7 +104,7 @@
         waiting.append(answer)
         timer = self._reactor.callLater(ANSWER_TIMEOUT_S, self._give_up, answer)
         for name in keepers:
-            self._membership.send(name, Kind.RUN_PLACE_REQUEST, key)
+            self._membership.send(name, FrameKind.RUN_PLACE_REQUEST, key)
         try:
             return await answer
         finally:
@@ -134,7 +134,7 @@
         place = self._places.find(key, self._clock()) if isinstance(key, str) else None
         if place is not None:
             answer = [key, place]
-            self._membership.send(frame.sender, Kind.RUN_PLACE_ANSWER, answer)
+            self._membership.send(frame.sender, FrameKind.RUN_PLACE_ANSWER, answer)
 
     def _take(self, frame: Frame) -> None:
         try:
--- a/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
@@ -19,7 +19,7 @@
 
 from ebonyhaven_node._channels import Channels
 from ebonyhaven_node._digests import Digest
-from ebonyhaven_node._frames import Frame, Kind
+from ebonyhaven_node._frames import Frame, FrameKind
 from ebonyhaven_node._membership import MembershipController
 from ebonyhaven_node.forwarding._parts import SILENT_SERVER_S
 from ebonyhaven_node.forwarding._state import ForwardingState
@@ -77,7 +77,7 @@
         self._on_news = on_news
         self._timer: Any = None
         self._told_any = False
-        channels.subscribe(Kind.ENGINE_USE, self._receive)
+        channels.subscribe(FrameKind.ENGINE_USE, self._receive)
 
     def note_change(self) -> None:
         """Tell the others soon."""
@@ -118,7 +118,7 @@
         if uses or lost or self._told_any:
             chosen = self._rng.sample(peers, min(MAX_RECEIVERS, len(peers)))
             for name in chosen:
-                self._membership.send(name, Kind.ENGINE_USE, [uses, lost])
+                self._membership.send(name, FrameKind.ENGINE_USE, [uses, lost])
         self._told_any = bool(uses)
         if uses:
             self._timer = self._reactor.callLater(REFRESH_S, self._send)
@@ -158,7 +158,7 @@
     """
 
     code = "v"
-    first = True
+    has_priority = True
 
     def __init__(
         self,
@@ -204,8 +204,8 @@
         self._asked_at = -ASK_INTERVAL_S
         self._unready: set[str] = set()
         membership.add_digest(StateDigest(source, self._compare))
-        channels.subscribe(Kind.STATE_REQUEST, self._answer)
-        channels.subscribe(Kind.STATE, self._take)
+        channels.subscribe(FrameKind.STATE_REQUEST, self._answer)
+        channels.subscribe(FrameKind.STATE, self._take)
 
     def _compare(self, sender: str, versions: tuple[int, int]) -> None:
         own = self._source.read_version()
@@ -217,7 +217,7 @@
         if now - self._asked_at < ASK_INTERVAL_S:
             return
         self._asked_at = now
-        self._membership.send(sender, Kind.STATE_REQUEST, list(own))
+        self._membership.send(sender, FrameKind.STATE_REQUEST, list(own))
 
     def _note_readiness(self, sender: str, versions: tuple[int, int]) -> None:
         """Offer no instance to callers that holds no state to serve them with."""
@@ -226,10 +226,10 @@
         )
         if unready != self._unready:
             self._unready = unready
-            self._membership.withhold_entries(unready)
+            self._membership.set_excluded_entries(unready)
 
     def _answer(self, frame: Frame) -> None:
-        self._membership.send(frame.sender, Kind.STATE, self._source.export())
+        self._membership.send(frame.sender, FrameKind.STATE, self._source.export())
 
     def _take(self, frame: Frame) -> None:
         try:
--- a/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
@@ -166,7 +166,7 @@
     """Return the bytes of a message on the wire."""
     from ebonyhaven_node._frames import NNG_HEADER_BYTES, Frame, encode_frame
     from ebonyhaven_node._membership_codec import (
-        KINDS,
+        KIND_BY_MESSAGE_TYPE,
         encode_heartbeat,
         encode_message,
     )
@@ -176,7 +176,7 @@
         payload = encode_heartbeat(message, {})
     else:
         payload = encode_message(message)
-    kind = KINDS[type(message)]
+    kind = KIND_BY_MESSAGE_TYPE[type(message)]
     frame = Frame(kind, view.own.name, view.own.incarnation, payload)
     return len(encode_frame(frame)) + NNG_HEADER_BYTES
 
--- a/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
@@ -40,7 +40,7 @@
 
     async def run(reactor: Any) -> None:
         from ebonyhaven_node._channels import ChannelMetrics, Channels
-        from ebonyhaven_node._frames import Frame, Kind
+        from ebonyhaven_node._frames import Frame, FrameKind
 
         received: list[object] = []
         addresses = [allocate_address(), allocate_address()]
@@ -53,8 +53,8 @@
             )
             for address in addresses
         )
-        receiver.subscribe(Kind.HEARTBEAT, received.append)
-        frame = Frame(Kind.HEARTBEAT, "instance-0001", 1_796_330_000_000, PAYLOAD)
+        receiver.subscribe(FrameKind.HEARTBEAT, received.append)
+        frame = Frame(FrameKind.HEARTBEAT, "instance-0001", 1_796_330_000_000, PAYLOAD)
         for count in (100, *MESSAGE_COUNTS):
             received.clear()
             before = time.process_time()
--- a/tests/forwarding/test_copy_exchange.py
+++ b/tests/forwarding/test_copy_exchange.py
@@ -3,7 +3,7 @@
 from ebonyhaven_decisions import MemberState
 from ebonyhaven_decisions.forwarding import RunCopyLocation, choose_index_instances
 from ebonyhaven_decisions.forwarding._copy_index import INDEX_REPLICAS
-from ebonyhaven_node import Frame, Kind
+from ebonyhaven_node import Frame, FrameKind
 from ebonyhaven_node._frames import encode_frame
 from ebonyhaven_node.forwarding._copy_exchange import ANSWER_TIMEOUT_S, CopyExchange
 from twisted.internet.defer import ensureDeferred
@@ -96,7 +96,7 @@
     # At the size of the target a node starts 3.9 generations a second, and all
     # control may take 2,000 bytes a second; less than two thirds of it are for this.
     place = RunCopyLocation("i-0123456789", "10.33.164.138:18028", "0123456789abcdef")
-    frame = Frame(Kind.RUN_PLACE, "edge-sala-b-44", 44015126, ["0" * 16, place])
+    frame = Frame(FrameKind.RUN_PLACE, "edge-sala-b-44", 44015126, ["0" * 16, place])
     assert 3.9 * INDEX_REPLICAS * len(encode_frame(frame)) <= 2000 * 2 / 3
 
 
@@ -137,11 +137,11 @@
 
 def test_malformed_news_are_not_taken_over():
     exchanges, network, _ = build("n1", "n2")
-    receive = network.channels["n2"].handlers[Kind.RUN_PLACE]
+    receive = network.channels["n2"].handlers[FrameKind.RUN_PLACE]
     for payload in ("nonsense", ["abc"], ["abc", ["e-1"]], 7):
-        receive(Frame(Kind.RUN_PLACE, "n1", 1, payload))
-    answer = network.channels["n2"].handlers[Kind.RUN_PLACE_REQUEST]
-    answer(Frame(Kind.RUN_PLACE_REQUEST, "n1", 1, ["abc"]))
+        receive(Frame(FrameKind.RUN_PLACE, "n1", 1, payload))
+    answer = network.channels["n2"].handlers[FrameKind.RUN_PLACE_REQUEST]
+    answer(Frame(FrameKind.RUN_PLACE_REQUEST, "n1", 1, ["abc"]))
     assert len(exchanges["n2"]._places) == 0
 
 
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_sharing.py
@@ -4,7 +4,7 @@
 
 from ebonyhaven_decisions import MemberRecord, MemberState
 from ebonyhaven_decisions.forwarding import EngineUse, PeerEngineUse, ServiceRetryBudget
-from ebonyhaven_node import Frame, Kind
+from ebonyhaven_node import Frame, FrameKind
 from ebonyhaven_node.forwarding._sharing import StateSharing, UseSharing
 from twisted.internet.task import Clock
 
@@ -46,7 +46,7 @@
     def add_digest(self, digest):
         self.digests.append(digest)
 
-    def withhold_entries(self, names):
+    def set_excluded_entries(self, names):
         self.withheld = frozenset(names)
 
 
@@ -79,8 +79,8 @@
     clock.advance(0.02)
     payload = [{"e-0": [8700, 0, 8000]}, ["e-1"]]
     assert sorted(membership.sent) == [
-        ("n2", Kind.ENGINE_USE, payload),
-        ("n3", Kind.ENGINE_USE, payload),
+        ("n2", FrameKind.ENGINE_USE, payload),
+        ("n3", FrameKind.ENGINE_USE, payload),
     ]
     assert budget.instances == 3
 
@@ -103,12 +103,14 @@
 
 def test_what_a_peer_tells_is_taken_over_and_malformed_news_are_not():
     _, _, _, channels, _, lost, peers, _ = build_use_sharing("n2")
-    receive = channels.handlers[Kind.ENGINE_USE]
-    receive(Frame(Kind.ENGINE_USE, "n2", 1, [{"e-0": [1, 2, 3]}, ["e-2", "unknown"]]))
+    receive = channels.handlers[FrameKind.ENGINE_USE]
+    receive(
+        Frame(FrameKind.ENGINE_USE, "n2", 1, [{"e-0": [1, 2, 3]}, ["e-2", "unknown"]])
+    )
     now = peers._reports["n2"][0]
     assert peers.sum_by_server(now) == {"e-0": EngineUse(1, 2, 3)}
     assert [each.server_id for each in lost] == ["e-2"]
-    receive(Frame(Kind.ENGINE_USE, "n2", 1, "nonsense"))
+    receive(Frame(FrameKind.ENGINE_USE, "n2", 1, "nonsense"))
     assert peers.sum_by_server(now) == {"e-0": EngineUse(1, 2, 3)}
 
 
@@ -140,7 +142,7 @@
     digest.merge("n2", [1, 1])
     assert membership.sent == []
     digest.merge("n2", [1, 9])
-    assert membership.sent == [("n2", Kind.STATE_REQUEST, [1, 1])]
+    assert membership.sent == [("n2", FrameKind.STATE_REQUEST, [1, 1])]
 
 
 def test_instance_without_state_is_not_offered_to_callers():
--- a/tests/node/test_channels.py
+++ b/tests/node/test_channels.py
@@ -4,7 +4,7 @@
 import time
 
 import pynng
-from ebonyhaven_node import ChannelMetrics, ChannelOptions, Channels, Frame, Kind
+from ebonyhaven_node import ChannelMetrics, ChannelOptions, Channels, Frame, FrameKind
 from ebonyhaven_standins.cluster import allocate_address
 from prometheus_client import CollectorRegistry
 from twisted.internet import reactor, task
@@ -28,7 +28,7 @@
             rng=random.Random(1),
             options=ChannelOptions(**options),
         )
-        self.channels.subscribe(Kind.CONFIGURATION, self.arrived.append)
+        self.channels.subscribe(FrameKind.CONFIGURATION, self.arrived.append)
 
     def read(self, name: str, **labels: str) -> float:
         return self.registry.get_sample_value(f"ebonyhaven_control_{name}", labels)
@@ -42,14 +42,16 @@
 
 
 def make_frame(payload) -> Frame:
-    return Frame(Kind.CONFIGURATION, "n1", 3, payload)
+    return Frame(FrameKind.CONFIGURATION, "n1", 3, payload)
 
 
-async def exchange_frames(fresh: bool):
+async def exchange_frames(new_connection: bool):
     first, second = Endpoint(), Endpoint()
     try:
         for number in range(3):
-            first.channels.send(second.address, make_frame(number), fresh=fresh)
+            first.channels.send(
+                second.address, make_frame(number), new_connection=new_connection
+            )
             await second.wait_for(number + 1)
         assert second.arrived == [make_frame(number) for number in range(3)]
         assert second.read("bytes_total", direction="received") == first.read(
@@ -107,8 +109,8 @@
 async def fail_in_a_handler():
     sender, receiver = Endpoint(), Endpoint()
     try:
-        receiver.channels.subscribe(Kind.QUERY, lambda frame: 1 / 0)
-        sender.channels.send(receiver.address, Frame(Kind.QUERY, "n1", 3, None))
+        receiver.channels.subscribe(FrameKind.QUERY, lambda frame: 1 / 0)
+        sender.channels.send(receiver.address, Frame(FrameKind.QUERY, "n1", 3, None))
         sender.channels.send(receiver.address, make_frame("good"))
         assert await receiver.wait_for(1) == [make_frame("good")]
         assert receiver.read("dropped_total", reason="handler_failed") == 1
--- a/tests/node/test_digests.py
+++ b/tests/node/test_digests.py
@@ -8,7 +8,7 @@
 
 class Version(Digest):
     code = "c"
-    first = True
+    has_priority = True
 
     def __init__(self, version: int):
         self.version = version
