--- a/packages/node/src/ebonyhaven_node/_channels.py
+++ b/packages/node/src/ebonyhaven_node/_channels.py
@@ -1,4 +1,4 @@
-"""Messages between instances over pynng, owned by one task."""
+"""Messages between instances over pynng push and pull sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 RECEIVE_QUEUE_MESSAGES = 64
 RECONNECT_MIN_MS = 250
 RECONNECT_MAX_MS = 4000
-IDLE_S = 10.0
+IDLE_TIMEOUT_S = 10.0
 MAX_MESSAGE_BYTES = 1 << 20
 MAX_MESSAGES_PER_WAKEUP = 64
 DIRECTIONS = ("sent", "received")
@@ -79,7 +79,7 @@
             ``"sent"`` or ``"received"``.
         kind : FrameKind
         size : int
-            Bytes with the length header.
+            Size in bytes, including the length header.
         """
         self._bound_messages[direction, kind].inc()
         self._bound_bytes[direction].inc(size)
@@ -93,7 +93,7 @@
 
 @implementer(IReadDescriptor)
 class _ReceiveDescriptor:
-    """Makes the reactor call when a socket has a message."""
+    """Calls ``on_ready`` from the reactor when a socket has a message to receive."""
 
     def __init__(self, socket: pynng.Pull0, on_ready: Callable[[], None]):
         self._descriptor = socket.recv_fd
@@ -102,27 +102,27 @@
     def fileno(self) -> int:
         return self._descriptor
 
-    def doRead(self) -> None:  # noqa: N802 the name Twisted calls
+    def doRead(self) -> None:  # noqa: N802 Twisted interface
         self._on_ready()
 
-    def connectionLost(self, reason: object) -> None:  # noqa: N802 the same
-        """Do nothing; the owner closes the socket."""
+    def connectionLost(self, reason: object) -> None:  # noqa: N802 Twisted interface
+        """Do nothing; `Channels` closes the socket."""
 
-    def logPrefix(self) -> str:  # noqa: N802 the same
+    def logPrefix(self) -> str:  # noqa: N802 Twisted interface
         return "channels"
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class ChannelOptions:
-    """Options of the channels for development and tests.
+    """Message loss and redirections for development and tests.
 
     Parameters
     ----------
     loss : float
-        Share of the messages that are dropped instead of sent.
+        Share of the messages that are dropped instead of sent, 0 to 1.
     routes : mapping of str to str
-        Address to connect to instead of a control address, such as a link of a
-        fault proxy.
+        Address to connect to by control address, such as a link of a fault proxy.
+        Control addresses without a route are connected to directly.
     """
 
     loss: float = 0.0
@@ -132,8 +132,8 @@
 class Channels:
     """Sends and receives the messages between instances.
 
-    Sending never waits: a message for which there is no room is dropped and
-    counted. Connections that were not used for ``IDLE_S`` are closed.
+    Sending never blocks: a message that does not fit the send queue of its
+    connection is dropped and counted. Call all methods from the reactor thread.
 
     Parameters
     ----------
@@ -173,22 +173,22 @@
         except pynng.NNGException:
             self._socket.close()
             raise
-        self._descriptor = _ReceiveDescriptor(self._socket, self._receive_waiting)
+        self._descriptor = _ReceiveDescriptor(self._socket, self._receive_pending)
         reactor.addReader(self._descriptor)
 
     def subscribe(self, kind: FrameKind, handler: FrameHandler) -> None:
-        """Set what is called with each message of a kind.
+        """Set the handler of the messages of a kind.
 
         Parameters
         ----------
         kind : FrameKind
         handler : callable
-            Gets the `Frame`.
+            Called with each `Frame`.
         """
         self._handlers[kind] = handler
 
     def send(self, address: str, frame: Frame, *, new_connection: bool = False) -> bool:
-        """Send a message, or drop it.
+        """Queue a message for sending, or drop and count it.
 
         Parameters
         ----------
@@ -196,7 +196,7 @@
             Control address of the receiver.
         frame : Frame
         new_connection : bool
-            Whether to open a new connection for it.
+            Whether to replace the open connection to the receiver by a new one.
 
         Returns
         -------
@@ -219,10 +219,10 @@
         return True
 
     def close_idle(self) -> None:
-        """Close the connections that were not used for ``IDLE_S``."""
-        oldest = time.monotonic() - IDLE_S
+        """Close the connections that were not used for ``IDLE_TIMEOUT_S`` seconds."""
+        cutoff = time.monotonic() - IDLE_TIMEOUT_S
         for address, connection in list(self._connections.items()):
-            if connection.used_at < oldest:
+            if connection.used_at < cutoff:
                 self._disconnect(address)
 
     def close(self) -> None:
@@ -252,7 +252,7 @@
         if connection is not None:
             connection.socket.close()
 
-    def _receive_waiting(self) -> None:
+    def _receive_pending(self) -> None:
         for _ in range(MAX_MESSAGES_PER_WAKEUP):
             try:
                 message = self._socket.recv_msg(block=False)
@@ -274,6 +274,6 @@
             return
         try:
             handler(frame)
-        except Exception:  # the reactor would stop reading from this socket
+        except Exception:  # raising would make the reactor stop reading this socket
             self._metrics.dropped.labels("handler_failed").inc()
             _log.exception("message_not_handled", step="receive", peer=frame.sender)
--- a/packages/node/src/ebonyhaven_node/_control_plane.py
+++ b/packages/node/src/ebonyhaven_node/_control_plane.py
@@ -1,4 +1,4 @@
-"""Builds the controllers of configuration, leases and orders of a node."""
+"""Wiring of the configuration, lease and order controllers of a node."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ControlPlaneDependencies:
-    """What the controllers are built from.
+    """Dependencies of the controllers.
 
     Parameters
     ----------
     owner : LeaseIdentity
-        This instance.
+        This instance, as the owner of leases.
     transport : PlatformTransport
     membership : MembershipController
     channels : Channels
@@ -54,74 +54,77 @@
 
 
 def start_control_plane(
-    parts: ControlPlaneDependencies, stack: contextlib.ExitStack
+    dependencies: ControlPlaneDependencies, stack: contextlib.ExitStack
 ) -> PoolControllers:
-    """Start the controllers; closing the stack stops them.
+    """Start the controllers.
 
     Parameters
     ----------
-    parts : ControlPlaneDependencies
+    dependencies : ControlPlaneDependencies
     stack : contextlib.ExitStack
+        Closing it stops the controllers.
 
     Returns
     -------
     PoolControllers
-        To release the leases that are held when the node leaves.
+        Releases the held leases when the node leaves.
     """
-    pools = _build_pool_controllers(parts)
+    pools = _build_pool_controllers(dependencies)
     stack.callback(pools.stop)
-    parts.configuration.observe(pools.update)
-    configuration = _build_configuration(parts)
+    dependencies.configuration.observe(pools.update)
+    configuration = _build_configuration_controller(dependencies)
     stack.callback(configuration.stop)
     start_controller("configuration", configuration.run())
     return pools
 
 
-def _build_configuration(parts: ControlPlaneDependencies) -> ConfigurationController:
+def _build_configuration_controller(
+    dependencies: ControlPlaneDependencies,
+) -> ConfigurationController:
     controller = ConfigurationController(
-        table=TableClient(parts.transport),
-        configuration=parts.configuration,
-        incarnation=parts.owner.incarnation,
-        reactor=parts.reactor,
-        rng=parts.rng,
-        metrics=ConfigurationMetrics(parts.registry),
+        table=TableClient(dependencies.transport),
+        configuration=dependencies.configuration,
+        incarnation=dependencies.owner.incarnation,
+        reactor=dependencies.reactor,
+        rng=dependencies.rng,
+        metrics=ConfigurationMetrics(dependencies.registry),
     )
     peers = MembershipPeers(
         controller=controller,
-        membership=parts.membership,
-        channels=parts.channels,
-        servers=parts.servers,
+        membership=dependencies.membership,
+        channels=dependencies.channels,
+        servers=dependencies.servers,
     )
     controller.connect_peers(peers)
     return controller
 
 
-def _build_pool_controllers(parts: ControlPlaneDependencies) -> PoolControllers:
-    metrics = LeaseMetrics(parts.registry)
+def _build_pool_controllers(dependencies: ControlPlaneDependencies) -> PoolControllers:
+    metrics = LeaseMetrics(dependencies.registry)
     candidacy = RendezvousCandidacy(
-        parts.owner.name, lambda: _list_live_names(parts.membership)
+        dependencies.owner.name, lambda: _list_live_names(dependencies.membership)
     )
 
     def make_lease(lease: str) -> LeaseController:
         return LeaseController(
             lease=lease,
-            owner=parts.owner,
-            table=TableClient(parts.transport),
-            reactor=parts.reactor,
-            rng=parts.rng,
+            owner=dependencies.owner,
+            table=TableClient(dependencies.transport),
+            reactor=dependencies.reactor,
+            rng=dependencies.rng,
             candidacy=candidacy,
             metrics=metrics,
         )
 
     return PoolControllers(
         make_lease=make_lease,
-        declaration=lambda: parts.configuration.declaration,
+        declaration=lambda: dependencies.configuration.declaration,
         parts=OrderDependencies(
-            servers=parts.servers,
-            weights=WeightClient(parts.transport),
-            reactor=parts.reactor,
-            rng=parts.rng,
-            metrics=OrderMetrics(parts.registry),
+            servers=dependencies.servers,
+            weights=WeightClient(dependencies.transport),
+            reactor=dependencies.reactor,
+            rng=dependencies.rng,
+            metrics=OrderMetrics(dependencies.registry),
         ),
     )
 
--- a/packages/node/src/ebonyhaven_node/_controllers.py
+++ b/packages/node/src/ebonyhaven_node/_controllers.py
@@ -1,4 +1,4 @@
-"""Start of the endless tasks of a node."""
+"""Start of the background tasks of a node."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def start_controller(name: str, task: Coroutine) -> None:
-    """Run a controller's task, and log the error that ends it, if any.
+    """Run a controller in the background and log the error that ends it, if any.
 
     Parameters
     ----------
     name : str
-        Name of the controller for the log.
+        Name of the controller in the log.
     task : coroutine
-        Ends by itself when the controller is stopped.
+        Returns when the controller is stopped.
     """
 
     def log_failure(failure: Failure) -> None:
--- a/packages/node/src/ebonyhaven_node/_digests.py
+++ b/packages/node/src/ebonyhaven_node/_digests.py
@@ -1,4 +1,4 @@
-"""State that rides on heartbeats."""
+"""State of controllers that is gossiped on heartbeats."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from ebonyhaven_decisions import GossipEntry, GossipTable
 
 HEARTBEAT_DIGEST_BYTES = 64
-COLLECTIONS_A_EXPIRY = 100
-_KEY_BYTES = 5
+EXPIRY_INTERVAL_COLLECTIONS = 100
+_KEY_OVERHEAD_BYTES = 5  # quoted code, colon and comma
 
 
 class Digest(abc.ABC):
-    """One kind of state that instances pass on to each other.
+    """One kind of state that instances gossip to each other.
 
     Attributes
     ----------
     code : str
-        One letter that names it in messages.
+        One letter that identifies the digest in messages.
     has_priority : bool
-        Whether it has a place in each heartbeat before the others, which take
-        turns in the room that is left.
+        Whether it is collected first for each heartbeat. The other digests share
+        the remaining bytes, in an order that rotates with each heartbeat.
     dedicated_budget_bytes : int
-        Room beside the shared one, for news that are rare; 0 for none.
+        Separate budget for state that changes rarely; 0 to use the shared budget.
     """
 
     code: str
@@ -34,27 +34,27 @@
 
     @abc.abstractmethod
     def collect(self, budget_bytes: int) -> Any:
-        """Return what to tell in one heartbeat.
+        """Return the payload for one heartbeat.
 
         Parameters
         ----------
         budget_bytes : int
-            Room for its JSON text; a longer payload is dropped.
+            Maximum size of the JSON text; a longer payload is dropped.
 
         Returns
         -------
         object
-            JSON value; None, or anything empty, for nothing.
+            JSON value; None or an empty value if there is nothing to send.
         """
 
     @abc.abstractmethod
     def merge(self, sender: str, payload: Any) -> None:
-        """Take in what another instance told.
+        """Merge the payload of another instance.
 
         Parameters
         ----------
         sender : str
-            Name of that instance.
+            Name of the sending instance.
         payload : object
             JSON value.
 
@@ -66,12 +66,12 @@
 
 
 def fit_entries(entries: Iterable[Any], budget_bytes: int) -> list[Any]:
-    """Return the first entries whose JSON list fits a budget.
+    """Return the first entries whose JSON list fits a byte budget.
 
     Parameters
     ----------
     entries : iterable of object
-        JSON values, the most urgent first.
+        JSON values in order of priority.
     budget_bytes : int
 
     Returns
@@ -89,20 +89,20 @@
 
 
 class TableDigest(Digest):
-    """Passes on a `GossipTable`.
+    """Digest that gossips the entries of a `GossipTable`.
 
     Parameters
     ----------
     code : str
-        One letter that names it in messages.
+        One letter that identifies the digest in messages.
     table : GossipTable
     clock : callable
-        Returns the present time in seconds.
+        Returns the current time in seconds.
     on_merge : callable or None
-        Called with each `GossipEntry` that was new.
+        Called with each received `GossipEntry` that was new.
     merge : callable or None
-        Takes in a `GossipEntry` in place of the table and returns whether it
-        was new.
+        Replaces the merge into the table: called with each received
+        `GossipEntry`, returns whether it was new.
     """
 
     def __init__(
@@ -124,7 +124,7 @@
     def collect(self, budget_bytes: int) -> list[GossipEntry]:
         """See `Digest.collect`."""
         self._collections += 1
-        if self._collections % COLLECTIONS_A_EXPIRY == 0:
+        if self._collections % EXPIRY_INTERVAL_COLLECTIONS == 0:
             self.table.expire(self._clock())
         return self.table.collect(budget_bytes)
 
@@ -140,12 +140,12 @@
 
 
 class DigestSet:
-    """Shares the room of a heartbeat between the digests.
+    """Divides the byte budget of a heartbeat between the digests.
 
     Parameters
     ----------
     budget_bytes : int
-        Room of one heartbeat.
+        Shared budget of one heartbeat.
     on_fault : callable
         Called with ``"digest_too_long"`` or ``"digest_malformed"``.
     """
@@ -158,38 +158,42 @@
     ):
         self._budget_bytes = budget_bytes
         self._on_fault = on_fault
-        self._first: list[Digest] = []
-        self._in_turn: list[Digest] = []
+        self._priority_digests: list[Digest] = []
+        self._rotating_digests: list[Digest] = []
 
     def add(self, digest: Digest) -> None:
-        """Add a digest; its code must differ from those of the others.
+        """Add a digest, which must have a unique code.
 
         Parameters
         ----------
         digest : Digest
         """
-        group = self._first if digest.has_priority else self._in_turn
+        group = (
+            self._priority_digests if digest.has_priority else self._rotating_digests
+        )
         group.append(digest)
 
     def collect(self) -> dict[str, Any]:
-        """Return the payloads for one heartbeat by code."""
+        """Return the payloads for one heartbeat by digest code."""
         payloads: dict[str, Any] = {}
         budget_bytes = self._budget_bytes
-        for digest in self._first + self._in_turn:
-            own_bytes = digest.dedicated_budget_bytes
-            used_bytes = self._collect_one(digest, own_bytes or budget_bytes, payloads)
-            if not own_bytes:
+        for digest in self._priority_digests + self._rotating_digests:
+            dedicated_bytes = digest.dedicated_budget_bytes
+            used_bytes = self._collect_one(
+                digest, dedicated_bytes or budget_bytes, payloads
+            )
+            if not dedicated_bytes:
                 budget_bytes -= used_bytes
-        self._in_turn = self._in_turn[1:] + self._in_turn[:1]
+        self._rotating_digests = self._rotating_digests[1:] + self._rotating_digests[:1]
         return payloads
 
     def _collect_one(
         self, digest: Digest, budget_bytes: int, payloads: dict[str, Any]
     ) -> int:
-        payload = digest.collect(budget_bytes - _KEY_BYTES)
+        payload = digest.collect(budget_bytes - _KEY_OVERHEAD_BYTES)
         if not payload:
             return 0
-        size = len(json.dumps(payload, separators=(",", ":"))) + _KEY_BYTES
+        size = len(json.dumps(payload, separators=(",", ":"))) + _KEY_OVERHEAD_BYTES
         if size > budget_bytes:
             self._on_fault("digest_too_long")
             return 0
@@ -197,14 +201,16 @@
         return size
 
     def merge(self, sender: str, payloads: dict[str, Any]) -> None:
-        """Hand payloads to their digests; unknown codes are ignored.
+        """Merge received payloads; those with an unknown code are ignored.
 
         Parameters
         ----------
         sender : str
+            Name of the sending instance.
         payloads : dict of str to object
+            Payloads by digest code.
         """
-        for digest in self._first + self._in_turn:
+        for digest in self._priority_digests + self._rotating_digests:
             payload = payloads.get(digest.code)
             if payload is None:
                 continue
--- a/packages/node/src/ebonyhaven_node/_entry_lists.py
+++ b/packages/node/src/ebonyhaven_node/_entry_lists.py
@@ -1,4 +1,4 @@
-"""Entry lists from the membership."""
+"""Entry points of callers, chosen from the membership view."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
     choose_entries,
 )
 
-SETTLED_S = 10.0
+STABLE_AFTER_S = 10.0
 
 
 class EntryLists:
-    """Chooses the instances that callers are told to use.
+    """Chooses the entry points that callers receive.
 
     Parameters
     ----------
     membership : Membership
     rng : random.Random
     clock : callable
-        Returns seconds.
+        Returns the current time in seconds.
     """
 
-    __slots__ = ("_changed_at", "_clock", "_leaving", "_membership", "_rng")
+    __slots__ = ("_changed_at", "_clock", "_excluded", "_membership", "_rng")
 
     def __init__(
         self,
@@ -39,29 +39,32 @@
         self._membership = membership
         self._rng = rng
         self._clock = clock
-        self._leaving: frozenset[str] = frozenset()
+        self._excluded: frozenset[str] = frozenset()
         self._changed_at = clock()
 
-    def set_leaving(self, names: Iterable[str]) -> None:
-        """Set the instances that the platform lists as leaving.
+    def set_excluded(self, names: Iterable[str]) -> None:
+        """Set the instances that callers do not receive as entry points.
 
         Parameters
         ----------
         names : iterable of str
         """
-        self._leaving = frozenset(names)
+        self._excluded = frozenset(names)
 
-    def note_change(self) -> None:
-        """Keep answers for a shorter time, as the view changes."""
+    def record_change(self) -> None:
+        """Shorten the caching time of entry lists after a change of the view.
+
+        The effect lasts ``STABLE_AFTER_S`` seconds.
+        """
         self._changed_at = self._clock()
 
     def choose(self, *, load: float) -> EntryList:
-        """Return the instances that a caller should use.
+        """Return the entry points for a caller.
 
         Parameters
         ----------
         load : float
-            Load of this instance, 0 to 1.
+            Used share of the capacity of this instance, 0 to 1.
 
         Returns
         -------
@@ -69,8 +72,8 @@
         """
         own = self._membership.own
         now = self._clock()
-        unsettled = (
-            now - self._changed_at < SETTLED_S
+        is_unstable = (
+            now - self._changed_at < STABLE_AFTER_S
             or self._membership.is_isolated(now)
             or self._membership.is_outdated(now)
         )
@@ -79,12 +82,12 @@
             data_centre=own.data_centre,
             region=own.region,
             rng=self._rng,
-            is_stable=not unsettled,
+            is_stable=not is_unstable,
         )
 
     def _list_candidates(self, now: float, load: float) -> list[EntryCandidate]:
         own_name = self._membership.own.name
-        excluded = self._membership.unresponsive | self._leaving
+        excluded = self._membership.unresponsive | self._excluded
         outdated = self._membership.is_outdated(now)
         return [
             EntryCandidate(
--- a/packages/node/src/ebonyhaven_node/_frames.py
+++ b/packages/node/src/ebonyhaven_node/_frames.py
@@ -10,7 +10,7 @@
 
 
 class FrameKind(enum.StrEnum):
-    """Kind of a message; the value is what goes over the wire."""
+    """Kind of a message; the value is its code on the wire."""
 
     HEARTBEAT = "h"
     PROBE = "p"
@@ -42,7 +42,7 @@
     sender : str
         Name of the sending instance.
     incarnation : int
-        Its incarnation.
+        Incarnation of the sending instance.
     payload : object
         JSON value.
     """
@@ -54,11 +54,11 @@
 
 
 class FrameError(ValueError):
-    """Raised for bytes that are no message."""
+    """Raised for bytes or a payload that cannot be decoded."""
 
 
 def encode_json(value: Any) -> bytes:
-    """Return the shortest JSON text of a value.
+    """Return the compact JSON text of a value, encoded as UTF-8.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the bytes of a message.
+    """Encode a message.
 
     Parameters
     ----------
@@ -86,7 +86,7 @@
 
 
 def decode_frame(data: bytes) -> Frame:
-    """Return the message that some bytes hold.
+    """Decode a message.
 
     Parameters
     ----------
@@ -99,7 +99,7 @@
     Raises
     ------
     FrameError
-        If the bytes are no message of a known kind.
+        If the bytes are not a message of a known kind.
     """
     try:
         kind, sender, incarnation, payload = json.loads(data)
@@ -107,5 +107,5 @@
     except (TypeError, ValueError) as error:
         raise FrameError(str(error)) from error
     if not isinstance(sender, str) or not isinstance(incarnation, int):
-        raise FrameError("sender or incarnation of a wrong type")
+        raise FrameError("sender is not a string or incarnation is not an integer")
     return frame
--- a/packages/node/src/ebonyhaven_node/_listing.py
+++ b/packages/node/src/ebonyhaven_node/_listing.py
@@ -1,4 +1,4 @@
-"""Controller of the platform's list: reads it in turn and passes it on."""
+"""Controller that reads the platform's list and gossips it to other instances."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from ebonyhaven_node._membership import MembershipController
 from ebonyhaven_node._servers import BackendServers
 
-JITTER = 0.3
+JITTER_RATIO = 0.3
 DIGEST_CODE = "i"
-DIGEST_BYTES = 600
-MAX_ENTRIES_A_MESSAGE = 200
-INCONSISTENT_ROUNDS = 10
+DIGEST_BUDGET_BYTES = 600
+MAX_ENTRIES_PER_MESSAGE = 200
+INCONSISTENT_POLLS_PER_REPAIR = 10
 
 _log = structlog.get_logger()
 _FIELDS = tuple(field.name for field in attrs.fields(ListedProcess))
@@ -48,11 +48,12 @@
 
 
 class ListingController:
-    """Keeps backend servers and the membership's seeds up to date.
+    """Updates the backend servers and the listed instances.
 
-    A few instances read the list often and pass on what changed; the others
-    read it seldom. An instance that knows nothing asks another one for its
-    whole list, so that it starts while the platform is out.
+    A few instances read the platform's list often and gossip the changes; the
+    others read it rarely. While the platform is unreachable, an instance whose list
+    is empty or stays inconsistent requests the list from a neighbour, so that it can
+    start during an outage of the platform.
 
     Parameters
     ----------
@@ -65,7 +66,7 @@
     reactor : IReactorTime
     rng : random.Random
     clock, wall_clock : callable
-        Return seconds.
+        Return monotonic and Unix time in seconds.
     """
 
     def __init__(
@@ -88,53 +89,53 @@
         self._rng = rng
         self._clock = clock
         self._wall_clock = wall_clock
-        self._duty = ListingReadSchedule(name=name, rng=rng)
+        self._schedule = ListingReadSchedule(name=name, rng=rng)
         self._listing = Listing()
-        self._inconsistent_rounds = 0
+        self._inconsistent_polls = 0
         self._reachable = True
         self._stopped = False
         self._apply_call: Any = None
-        self._waiting: Deferred | None = None
+        self._poll_delay: Deferred | None = None
         digest = TableDigest(
             code=DIGEST_CODE,
             table=self._listing.table,
             clock=clock,
             merge=self._merge_entry,
         )
-        digest.dedicated_budget_bytes = DIGEST_BYTES
+        digest.dedicated_budget_bytes = DIGEST_BUDGET_BYTES
         membership.add_digest(digest)
         channels.subscribe(FrameKind.LISTING_REQUEST, self._answer_request)
         channels.subscribe(FrameKind.LISTING, self._receive_listing)
 
     async def run(self) -> None:
-        """Read the list when it is due, until `stop` is called."""
+        """Read the list whenever a read is due, until `stop` is called."""
         while not self._stopped:
-            incomplete = self._is_incomplete()
-            if incomplete or self._is_due():
+            repair_due = self._is_repair_due()
+            if repair_due or self._is_due():
                 await self._read_once()
-            if incomplete and not self._reachable:
-                self._ask_neighbour()
-            period_s = READ_INTERVAL_S * self._rng.uniform(1 - JITTER, 1)
-            self._waiting = task.deferLater(self._reactor, period_s)
-            self._waiting.addErrback(lambda _: None)
-            await self._waiting
+            if repair_due and not self._reachable:
+                self._request_listing()
+            interval_s = READ_INTERVAL_S * self._rng.uniform(1 - JITTER_RATIO, 1)
+            self._poll_delay = task.deferLater(self._reactor, interval_s)
+            self._poll_delay.addErrback(lambda _: None)
+            await self._poll_delay
 
     def stop(self) -> None:
-        """End `run`."""
+        """Make `run` return."""
         self._stopped = True
-        if self._waiting is not None:
-            self._waiting.cancel()
+        if self._poll_delay is not None:
+            self._poll_delay.cancel()
         if self._apply_call is not None and self._apply_call.active():
             self._apply_call.cancel()
 
-    def _is_incomplete(self) -> bool:
+    def _is_repair_due(self) -> bool:
         if not self._listing:
             return True
         if self._listing.is_consistent():
-            self._inconsistent_rounds = 0
+            self._inconsistent_polls = 0
             return False
-        self._inconsistent_rounds += 1
-        return self._inconsistent_rounds % INCONSISTENT_ROUNDS == 0
+        self._inconsistent_polls += 1
+        return self._inconsistent_polls % INCONSISTENT_POLLS_PER_REPAIR == 0
 
     def _list_live(self) -> list[str]:
         return [
@@ -145,7 +146,7 @@
 
     def _is_due(self) -> bool:
         wall_s = self._wall_clock()
-        return self._duty.is_due(
+        return self._schedule.is_due(
             self._list_live(),
             now=self._clock(),
             wall_s=wall_s,
@@ -157,9 +158,9 @@
         try:
             listed = await self._client.read()
         except PlatformError as error:
-            self._note_reachable(False, reason=error.reason)
+            self._update_reachable(False, reason=error.reason)
             return
-        self._note_reachable(True)
+        self._update_reachable(True)
         changed = self._listing.merge_read(
             {item.name: _encode_process(item) for item in listed.processes},
             started_at=started_at,
@@ -173,6 +174,7 @@
 
     def _merge_entry(self, entry: GossipEntry) -> bool:
         if entry.value is not None and entry.key:
+            # Raises an exception for a malformed value, before it is merged.
             _decode_process(entry.key, entry.value)
         changed = self._listing.merge_entry(entry, self._clock())
         self._servers.has_complete_list = self._listing.is_complete()
@@ -193,7 +195,7 @@
             item for item in processes if item.kind == "backend_server"
         )
 
-    def _ask_neighbour(self) -> None:
+    def _request_listing(self) -> None:
         neighbours = self._membership.neighbours
         if neighbours:
             name = self._rng.choice(neighbours)
@@ -201,15 +203,15 @@
 
     def _answer_request(self, frame: Frame) -> None:
         entries = self._listing.entries()
-        for first in range(0, len(entries), MAX_ENTRIES_A_MESSAGE):
-            part = entries[first : first + MAX_ENTRIES_A_MESSAGE]
-            self._membership.send(frame.sender, FrameKind.LISTING, part)
+        for first in range(0, len(entries), MAX_ENTRIES_PER_MESSAGE):
+            batch = entries[first : first + MAX_ENTRIES_PER_MESSAGE]
+            self._membership.send(frame.sender, FrameKind.LISTING, batch)
 
     def _receive_listing(self, frame: Frame) -> None:
         for key, version, value in frame.payload:
             self._merge_entry(GossipEntry(str(key), int(version), value))
 
-    def _note_reachable(self, reachable: bool, *, reason: str = "") -> None:
+    def _update_reachable(self, reachable: bool, *, reason: str = "") -> None:
         if reachable == self._reachable:
             return
         self._reachable = reachable
--- a/packages/node/src/ebonyhaven_node/_load_poller.py
+++ b/packages/node/src/ebonyhaven_node/_load_poller.py
@@ -1,4 +1,4 @@
-"""Reads the load of engines that this instance has not heard of for a while."""
+"""Polling of engines whose last load report is old."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 from ebonyhaven_node._servers import BackendServer, BackendServers, ReportedLoad
 
-PERIOD_S = 0.25
-JITTER = 0.3
-FRESH_S = 1.0
+POLL_INTERVAL_S = 0.25
+JITTER_RATIO = 0.3
+MAX_LOAD_AGE_S = 1.0
 READ_TIMEOUT_S = 1.0
-SAMPLED = 8
+SAMPLE_SIZE = 8
 
 
 class LoadPoller:
-    """Asks one engine at a time for its load, the one longest unheard of first.
+    """Polls the load of one engine at a time, the one with the oldest report first.
 
-    Answers to requests carry the load as well, so a busy instance asks little.
+    Responses to requests contain the load as well, so a busy instance polls rarely.
 
     Parameters
     ----------
     servers : BackendServers
     table : ServerTable
-        Tells when each server was last heard of.
+        Contains the time of the last load report or poll of each server.
     reactor : IReactorTime
     rng : random.Random
     """
@@ -52,45 +52,45 @@
             Agent(reactor, connectTimeout=READ_TIMEOUT_S)
         )
         self._stopped = False
-        self._waiting: Deferred | None = None
+        self._poll_delay: Deferred | None = None
 
     async def run(self) -> None:
-        """Ask again and again until `stop` is called."""
+        """Poll engines until `stop` is called."""
         while not self._stopped:
             server = self._choose()
             if server is not None:
                 await self._read(server)
-            period_s = PERIOD_S * self._rng.uniform(1 - JITTER, 1)
-            self._waiting = task.deferLater(self._reactor, period_s)
-            self._waiting.addErrback(lambda _: None)
-            await self._waiting
+            interval_s = POLL_INTERVAL_S * self._rng.uniform(1 - JITTER_RATIO, 1)
+            self._poll_delay = task.deferLater(self._reactor, interval_s)
+            self._poll_delay.addErrback(lambda _: None)
+            await self._poll_delay
 
     def stop(self) -> None:
-        """End `run`."""
+        """Make `run` return."""
         self._stopped = True
-        if self._waiting is not None:
-            self._waiting.cancel()
+        if self._poll_delay is not None:
+            self._poll_delay.cancel()
 
     def _choose(self) -> BackendServer | None:
-        """Return the one longest unheard of among a few engines."""
+        """Return the engine with the oldest report in a random sample, if it is due."""
         engines = [state for state in self._table if not _is_service(state)]
-        if len(engines) > SAMPLED:
-            engines = self._rng.sample(engines, SAMPLED)
+        if len(engines) > SAMPLE_SIZE:
+            engines = self._rng.sample(engines, SAMPLE_SIZE)
         oldest = min(engines, key=lambda state: state.polled_at, default=None)
         now = time.monotonic()
-        if oldest is None or now - oldest.polled_at < FRESH_S:
+        if oldest is None or now - oldest.polled_at < MAX_LOAD_AGE_S:
             return None
         oldest.polled_at = now
         return self._servers.find(oldest.name)
 
     async def _read(self, server: BackendServer) -> None:
-        answer = self._client.get(f"http://{server.address}/v1/load")
-        answer.addCallback(treq.json_content)
-        answer.addTimeout(READ_TIMEOUT_S, self._reactor)
+        response = self._client.get(f"http://{server.address}/v1/load")
+        response.addCallback(treq.json_content)
+        response.addTimeout(READ_TIMEOUT_S, self._reactor)
         try:
-            report = await answer
+            report = await response
             load = _parse_load(report)
-        except Exception:  # an engine that does not answer is left to the requests
+        except Exception:  # unreachable engines are detected by requests
             return
         server.record_answer()
         server.record_load(load)
--- a/packages/node/src/ebonyhaven_node/_membership.py
+++ b/packages/node/src/ebonyhaven_node/_membership.py
@@ -1,4 +1,4 @@
-"""Controller of the membership of this instance."""
+"""Controller of the membership protocol of this instance."""
 
 from __future__ import annotations
 
@@ -40,27 +40,27 @@
 
 FLUSH_DELAY_S = 0.03
 FLUSH_INTERVAL_S = 0.1
-IDLE_CHECK_TICKS = 20
-DEPARTURE_S = 0.2
+IDLE_CHECK_INTERVAL_TICKS = 20
+DEPARTURE_DELAY_S = 0.2
 
 _log = structlog.get_logger()
 
 
 class MembershipController:
-    """Keeps the view on the other instances and passes digests between them.
+    """Runs the membership protocol and exchanges digests with other instances.
 
     Parameters
     ----------
     own : MemberRecord
         Record of this instance.
     channels : Channels
-        Carries the messages.
+        Transport of the messages.
     reactor : IReactorTime
     rng : random.Random
     registry : CollectorRegistry
-        Where the metrics are registered.
+        Registry of the metrics.
     clock : callable
-        Returns seconds of a clock that goes on while the process is paused.
+        Returns seconds of a clock that also runs while the process is paused.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self._seeds: dict[str, str] = {}
         self._flushed_at = clock()
         self._flush_call: Any = None
-        self._flush_everyone = False
+        self._flush_all_targets = False
         self._tick_call: Any = None
         self._ticks = 0
         self._superseded = False
@@ -95,49 +95,49 @@
 
     @property
     def own(self) -> MemberRecord:
-        """Present record of this instance."""
+        """Current record of this instance."""
         return self._membership.own
 
     @property
     def members(self) -> list[MemberRecord]:
-        """Records of all known instances, this one too."""
+        """Records of all known instances, including this one."""
         return list(self._membership.table)
 
     @property
     def neighbours(self) -> tuple[str, ...]:
-        """Names of the instances that get the heartbeats of this one."""
+        """Names of the instances that receive heartbeats from this one."""
         return self._membership.targets
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
+        """Start sending heartbeats."""
         delay_s = TICK_S * self._rng.random()
         self._tick_call = self._reactor.callLater(delay_s, self._tick)
 
     def stop(self) -> None:
-        """Stop all timers."""
+        """Cancel all timers."""
         for call in (self._tick_call, self._flush_call):
             if call is not None and call.active():
                 call.cancel()
 
     def leave(self) -> None:
-        """Announce that this instance takes no new callers."""
+        """Announce that this instance accepts no new callers."""
         self._membership.leave(self._clock())
         self._schedule_flush()
 
     def depart(self) -> Deferred[None]:
-        """Announce the end of this instance and stop.
+        """Announce that this instance stops, and cancel all timers.
 
         Returns
         -------
         Deferred
-            Fires when the announcement had time to go out.
+            Fires after a delay in which the queued announcement can be sent.
         """
         self.stop()
         self._send_all(self._membership.depart(self._clock()))
-        return task.deferLater(self._reactor, DEPARTURE_S, lambda: None)
+        return task.deferLater(self._reactor, DEPARTURE_DELAY_S, lambda: None)
 
     def set_seeds(self, addresses: Mapping[str, str]) -> None:
-        """Set instances to contact besides those on the platform's list.
+        """Set instances to contact in addition to those on the platform's list.
 
         Parameters
         ----------
@@ -148,14 +148,14 @@
         self._membership.set_listed(self._seeds)
 
     def merge_list(self, instances: Iterable[ListedProcess]) -> None:
-        """Take in the instances on the platform's lagging list.
+        """Set the instances on the platform's list, which may be out of date.
 
         Parameters
         ----------
         instances : iterable of ListedProcess
         """
         listed = list(instances)
-        self._entries.set_leaving(
+        self._entries.set_excluded(
             item.name for item in listed if item.state == "leaving"
         )
         addresses = {
@@ -164,16 +164,18 @@
         self._membership.set_listed(self._seeds | addresses)
 
     def set_excluded_entries(self, names: Iterable[str]) -> None:
-        """Set the instances that callers are not told to use.
+        """Set the instances that callers do not receive as entry points.
+
+        The next `merge_list` replaces them by the leaving instances.
 
         Parameters
         ----------
         names : iterable of str
         """
-        self._entries.set_leaving(names)
+        self._entries.set_excluded(names)
 
     def add_digest(self, digest: Digest) -> None:
-        """Let a kind of state ride on the heartbeats.
+        """Send and receive a digest with the heartbeats.
 
         Parameters
         ----------
@@ -191,22 +193,22 @@
         self._observers.append(observer)
 
     def set_load_source(self, source: Callable[[], float]) -> None:
-        """Set what is asked for the load of this instance.
+        """Set the function that measures the load of this instance.
 
         Parameters
         ----------
         source : callable
-            Returns the share of the capacity in use, 0 to 1.
+            Returns the used share of the capacity, 0 to 1.
         """
         self._load_source = source
 
     def send(self, name: str, kind: FrameKind, payload: Any) -> bool:
-        """Send a message of another controller to an instance.
+        """Send a message of another controller.
 
         Parameters
         ----------
         name : str
-            Name of the receiver.
+            Name of the receiving instance.
         kind : FrameKind
         payload : object
             JSON value.
@@ -223,11 +225,11 @@
         return self._channels.send(record.control_address, frame)
 
     def schedule_heartbeats(self) -> None:
-        """Send heartbeats to all neighbours soon, as a digest has news."""
+        """Schedule heartbeats to all neighbours to send a changed digest early."""
         self._schedule_flush(all_targets=True)
 
     def choose_entries(self) -> EntryList:
-        """Return the instances that a caller should use."""
+        """Return the entry points for a caller."""
         return self._entries.choose(load=self._load_source())
 
     def _tick(self) -> None:
@@ -238,7 +240,7 @@
         self._send_all(self._membership.tick(now))
         self._handle_changes(now)
         self._ticks += 1
-        if self._ticks % IDLE_CHECK_TICKS == 0:
+        if self._ticks % IDLE_CHECK_INTERVAL_TICKS == 0:
             self._channels.close_idle()
 
     def _receive(self, frame: Frame) -> None:
@@ -264,7 +266,7 @@
 
     def _handle_changes(self, now: float) -> None:
         for record in self._membership.pop_changes():
-            self._entries.note_change()
+            self._entries.record_change()
             _log.info(
                 "instance_changed",
                 peer=record.name,
@@ -280,16 +282,16 @@
             self._schedule_flush()
 
     def _schedule_flush(self, *, all_targets: bool = False) -> None:
-        self._flush_everyone |= all_targets
+        self._flush_all_targets |= all_targets
         if self._flush_call is not None and self._flush_call.active():
             return
-        earliest_s = self._flushed_at + FLUSH_INTERVAL_S - self._clock()
-        delay_s = max(FLUSH_DELAY_S, earliest_s)
+        remaining_s = self._flushed_at + FLUSH_INTERVAL_S - self._clock()
+        delay_s = max(FLUSH_DELAY_S, remaining_s)
         self._flush_call = self._reactor.callLater(delay_s, self._flush)
 
     def _flush(self) -> None:
         now = self._clock()
-        all_targets, self._flush_everyone = self._flush_everyone, False
+        all_targets, self._flush_all_targets = self._flush_all_targets, False
         self._flushed_at = now
         self._send_all(self._membership.flush(now, all_targets=all_targets))
         if self._membership.has_pending_updates:
--- a/packages/node/src/ebonyhaven_node/_membership_codec.py
+++ b/packages/node/src/ebonyhaven_node/_membership_codec.py
@@ -1,4 +1,4 @@
-"""Membership messages as JSON payloads."""
+"""Encoding of membership messages as JSON payloads."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     TableRequest: FrameKind.TABLE_REQUEST,
     TableAnswer: FrameKind.TABLE,
 }
-_HEARTBEAT_FIELDS = 5
+_HEARTBEAT_FIELD_COUNT = 5
 
 
 class HeartbeatPayload(NamedTuple):
@@ -40,7 +40,7 @@
     ----------
     heartbeat : Heartbeat
     digests : dict of str to object
-        Payload of each digest by its code.
+        Payloads by digest code.
     """
 
     heartbeat: Heartbeat
@@ -48,13 +48,13 @@
 
 
 def encode_heartbeat(heartbeat: Heartbeat, digests: dict[str, Any]) -> list[Any]:
-    """Return the payload of a heartbeat; empty trailing fields are left out.
+    """Return the payload of a heartbeat without empty trailing fields.
 
     Parameters
     ----------
     heartbeat : Heartbeat
     digests : dict of str to object
-        Payload of each digest by its code.
+        Payloads by digest code.
 
     Returns
     -------
@@ -73,7 +73,7 @@
 
 
 def decode_heartbeat(payload: Any) -> HeartbeatPayload:
-    """Return the heartbeat of a payload.
+    """Decode the payload of a heartbeat.
 
     Parameters
     ----------
@@ -86,10 +86,10 @@
     Raises
     ------
     FrameError
-        If the payload is no heartbeat.
+        If the payload is not a valid heartbeat.
     """
     try:
-        fields = list(payload) + [()] * (_HEARTBEAT_FIELDS - len(payload))
+        fields = list(payload) + [()] * (_HEARTBEAT_FIELD_COUNT - len(payload))
         state, digest, digests, updates, loads = fields
         heartbeat = Heartbeat(
             state=MemberState(state),
@@ -103,7 +103,7 @@
 
 
 def encode_message(message: MembershipMessage) -> Any:
-    """Return the payload of any message but a heartbeat.
+    """Return the payload of a message that is not a heartbeat.
 
     Parameters
     ----------
@@ -122,11 +122,11 @@
             return [record, subject]
         case QueryAnswer(subject):
             return subject
-    raise TypeError(f"no payload for {type(message).__name__}")
+    raise TypeError(f"unsupported message type {type(message).__name__}")
 
 
 def decode_message(kind: FrameKind, payload: Any) -> MembershipMessage:
-    """Return the message of a payload, for any kind but a heartbeat.
+    """Decode the payload of a message that is not a heartbeat.
 
     Parameters
     ----------
@@ -140,7 +140,7 @@
     Raises
     ------
     FrameError
-        If the payload does not fit the kind.
+        If the payload is not valid for the kind.
     """
     try:
         return _decode(kind, payload)
@@ -163,7 +163,7 @@
             return Query(_decode_record(record), str(subject))
         case FrameKind.QUERY_ANSWER:
             return QueryAnswer(str(payload))
-    raise FrameError(f"{kind.name} is no membership message")
+    raise FrameError(f"unsupported message kind {kind.name}")
 
 
 def _decode_record(fields: Sequence[Any]) -> MemberRecord:
--- a/packages/node/src/ebonyhaven_node/_membership_metrics.py
+++ b/packages/node/src/ebonyhaven_node/_membership_metrics.py
@@ -12,7 +12,7 @@
 
 
 class _MembershipCollector(Collector):
-    """Reads the counts of a `Membership` when they are scraped."""
+    """Collects the metrics of a `Membership` when they are scraped."""
 
     def __init__(self, membership: Membership):
         self._membership = membership
@@ -63,10 +63,11 @@
         registry.register(_MembershipCollector(membership))
 
     def count_fault(self, fault: str) -> None:
-        """Count a message or digest that was not understood.
+        """Count a malformed message, or a malformed or oversized digest.
 
         Parameters
         ----------
         fault : str
+            Value of the ``fault`` label.
         """
         self._faults.labels(fault).inc()
--- a/packages/node/src/ebonyhaven_node/_own_record.py
+++ b/packages/node/src/ebonyhaven_node/_own_record.py
@@ -1,4 +1,4 @@
-"""First member record of this instance."""
+"""Initial member record of this instance."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from ebonyhaven_decisions import MemberRecord, MemberState
 
-EPOCH_S = 1_735_689_600  # 2025-01-01, keeps incarnations short
+INCARNATION_EPOCH_S = 1_735_689_600  # 2025-01-01 UTC; keeps incarnations short
 
 
 def make_own_record(
@@ -17,7 +17,7 @@
     data_centre: str,
     region: str,
 ) -> MemberRecord:
-    """Return the first record of this instance.
+    """Return the initial record of this instance.
 
     Parameters
     ----------
@@ -30,11 +30,11 @@
     Returns
     -------
     MemberRecord
-        Its incarnation comes from the clock; one that is too low is raised as
-        soon as another instance objects.
+        Its incarnation is taken from the wall clock. If it is too low, it is raised as
+        soon as another instance sends a record with a higher one.
     """
     return MemberRecord(
-        incarnation=max(0, int(time.time()) - EPOCH_S),
+        incarnation=max(0, int(time.time()) - INCARNATION_EPOCH_S),
         state=MemberState.LIVE,
         name=name,
         control_address=control_address,
--- a/packages/node/src/ebonyhaven_node/_pauses.py
+++ b/packages/node/src/ebonyhaven_node/_pauses.py
@@ -1,4 +1,4 @@
-"""Noticing that this process was paused."""
+"""Detection of pauses of this process."""
 
 from __future__ import annotations
 
@@ -12,47 +12,47 @@
 
 
 class PauseDetector:
-    """Tells when this process last woke from a pause.
+    """Detects when the last pause of this process ended.
 
-    A process that was stopped, or whose reactor was blocked, sees its own ticks
-    come late. The check also counts a tick that is overdue at the time of asking,
-    since input may be handled before timers after a pause.
+    If the process is stopped or its reactor is blocked, the next tick of a timer is
+    late. `find_pause_end` also detects a tick that is overdue but has not run yet,
+    since the reactor may handle input before timers after a pause.
 
     Parameters
     ----------
     reactor : IReactorTime
     """
 
-    __slots__ = ("_last_tick_at", "_loop", "_woke_at")
+    __slots__ = ("_last_tick_at", "_loop", "_pause_ended_at")
 
     def __init__(self, reactor: IReactorTime):
         self._last_tick_at = time.monotonic()
-        self._woke_at = float("-inf")
+        self._pause_ended_at = float("-inf")
         self._loop = LoopingCall(self._tick)
         self._loop.clock = reactor
 
     def start(self) -> None:
-        """Start to tick."""
+        """Start the timer."""
         self._last_tick_at = time.monotonic()
         self._loop.start(TICK_INTERVAL_S, now=False)
 
     def stop(self) -> None:
-        """Stop to tick."""
+        """Stop the timer."""
         if self._loop.running:
             self._loop.stop()
 
     def find_pause_end(self) -> float:
-        """Return the monotonic time of the last wake from a pause, seconds.
+        """Return the monotonic time in seconds at which the last pause ended.
 
         Returns
         -------
         float
-            Minus infinity if there was none.
+            Minus infinity if there was no pause.
         """
         now = time.monotonic()
         if now - self._last_tick_at > PAUSE_THRESHOLD_S:
-            self._woke_at = now
-        return self._woke_at
+            self._pause_ended_at = now
+        return self._pause_ended_at
 
     def _tick(self) -> None:
         self.find_pause_end()
--- a/packages/node/src/ebonyhaven_node/_processor_load.py
+++ b/packages/node/src/ebonyhaven_node/_processor_load.py
@@ -1,4 +1,4 @@
-"""Load of this instance, as the share of a core that it uses."""
+"""Load of this instance, measured as its share of a processor core."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from collections.abc import Callable
 
 SAMPLE_INTERVAL_S = 1.0
-SMOOTHING = 0.3
+SMOOTHING_FACTOR = 0.3
 
 
 class ProcessorLoad:
-    """Smoothed share of one core that this process uses.
+    """Smoothed share of one processor core used by this process.
 
-    All requests of an instance share one thread, so a full core is a full
-    instance.
+    An instance handles all requests in one thread, so its capacity is exhausted
+    when it uses one core fully.
 
     Parameters
     ----------
     clock, processor_clock : callable
-        Return seconds of elapsed and of processor time.
+        Return elapsed time and processor time in seconds.
     """
 
     __slots__ = ("_clock", "_processor_clock", "_sampled_at", "_share", "_used_s")
@@ -36,7 +36,7 @@
         self._share = 0.0
 
     def read(self) -> float:
-        """Return the share, 0 to 1; samples at most once a second.
+        """Return the share, 0 to 1, sampled once per ``SAMPLE_INTERVAL_S`` at most.
 
         Returns
         -------
@@ -50,5 +50,5 @@
         share = (used_s - self._used_s) / elapsed_s
         self._sampled_at = now
         self._used_s = used_s
-        self._share += SMOOTHING * (min(1.0, share) - self._share)
+        self._share += SMOOTHING_FACTOR * (min(1.0, share) - self._share)
         return self._share
--- a/packages/node/src/ebonyhaven_node/_servers.py
+++ b/packages/node/src/ebonyhaven_node/_servers.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the backend servers, and the controller behind it."""
+"""Backend servers as known to this instance."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import structlog
 from ebonyhaven_store import ListedProcess
 
-FIRST_BACKOFF_S = 0.5
-LONGEST_BACKOFF_S = 8.0
+INITIAL_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 8.0
 DEFAULT_CAPACITY = 16
 DEFAULT_PACE_S = 0.03
 DEFAULT_PREFILL_TOKENS_PER_S = 4000.0
@@ -20,20 +20,20 @@
 
 
 class ReportedLoad(NamedTuple):
-    """Load that a backend server reports of itself.
+    """Load reported by a backend server.
 
     Parameters
     ----------
     running, waiting : int
-        Sequences in its batch and in its queue.
+        Sequences in the batch and in the queue of the server.
     capacity : int
-        Sequences that it runs at once.
+        Maximum number of sequences in the batch.
     pace_s : float
         Gap between tokens, seconds.
     leaving : bool
-        Whether it takes no new work.
+        Whether the server accepts no new work.
     prefill_tokens_per_s : float or None
-        Prompt tokens that it computes in a second, where it says so.
+        Prefill rate; None if the server does not report it.
     age_s : float
         Seconds since the measurement.
     """
@@ -48,47 +48,48 @@
 
 
 class ServerListener(abc.ABC):
-    """Is told what is learned of backend servers."""
+    """Interface for notifications about backend servers."""
 
     @abc.abstractmethod
     def record_load(self, server: BackendServer, load: ReportedLoad) -> None:
-        """Take a load report of a server."""
+        """Record a load report of a server."""
 
     @abc.abstractmethod
     def record_answer(self, server: BackendServer) -> None:
-        """Take note that a server answered."""
+        """Record that a server responded."""
 
     @abc.abstractmethod
     def record_unreachable(self, server: BackendServer) -> None:
-        """Take note that a server could not be reached."""
+        """Record that a server could not be reached."""
 
 
 @attrs.define(slots=True, kw_only=True, eq=False)
 class BackendServer:
-    """State of one backend server as seen from here.
+    """State of one backend server as seen by this instance.
 
     Parameters
     ----------
     name, address, pool, data_centre, region : str
         From the platform's list.
     identity : str
-        Changes when the process is replaced.
+        Identity of the process; a replacement has a different one.
     leaving : bool
-        Whether it must get no new work.
+        Whether the server accepts no new work.
     capacity : int
-        Sequences that it runs at once.
+        Maximum number of sequences in the batch.
     running, waiting : int
-        Load that it last reported.
+        Last reported sequences in the batch and in the queue.
     pace_s : float
-        Gap between tokens that it last reported, seconds.
+        Last reported gap between tokens, seconds.
     in_flight : int
-        Streams of this instance on it.
-    down_until : float
-        Time until which it gets no new work after a failed connection, seconds.
+        Streams between this instance and the server.
+    backoff_until : float
+        Monotonic time until which the server is sent no new work after a failure,
+        seconds.
     backoff_s : float
-        Length of the next such pause.
+        Duration of the next backoff, seconds.
     listener : ServerListener or None
-        Is told what is learned of this server.
+        Notified of load reports, responses and failures.
     """
 
     name: str
@@ -103,32 +104,32 @@
     waiting: int = 0
     pace_s: float = DEFAULT_PACE_S
     in_flight: int = 0
-    down_until: float = 0.0
-    backoff_s: float = FIRST_BACKOFF_S
+    backoff_until: float = 0.0
+    backoff_s: float = INITIAL_BACKOFF_S
     listener: ServerListener | None = None
 
     def record_unreachable(self, now: float) -> None:
-        """Keep new work away for a while that doubles with each failure.
+        """Start a backoff; its duration doubles with each failure up to a maximum.
 
         Parameters
         ----------
         now : float
-            Present time, seconds.
+            Current monotonic time, seconds.
         """
-        self.down_until = now + self.backoff_s
-        self.backoff_s = min(LONGEST_BACKOFF_S, 2 * self.backoff_s)
+        self.backoff_until = now + self.backoff_s
+        self.backoff_s = min(MAX_BACKOFF_S, 2 * self.backoff_s)
         if self.listener is not None:
             self.listener.record_unreachable(self)
 
     def record_answer(self) -> None:
-        """Take note that the server answers."""
-        self.down_until = 0.0
-        self.backoff_s = FIRST_BACKOFF_S
+        """Record that the server responded, which ends the backoff."""
+        self.backoff_until = 0.0
+        self.backoff_s = INITIAL_BACKOFF_S
         if self.listener is not None:
             self.listener.record_answer(self)
 
     def record_load(self, load: ReportedLoad) -> None:
-        """Take over the load that the server reports.
+        """Record the load that the server reports.
 
         Parameters
         ----------
@@ -143,22 +144,32 @@
             self.listener.record_load(self, load)
 
     def accepts_work(self, now: float) -> bool:
-        """Tell whether new work may be sent.
+        """Return whether new work may be sent to the server.
 
         Parameters
         ----------
         now : float
-            Present time, seconds.
+            Current monotonic time, seconds.
 
         Returns
         -------
         bool
         """
-        return not self.leaving and now >= self.down_until
+        return not self.leaving and now >= self.backoff_until
 
 
 class BackendServers:
-    """All backend servers that this instance knows, by name."""
+    """All backend servers known to this instance, by name.
+
+    Attributes
+    ----------
+    instances : tuple of ListedProcess
+        Instances on the platform's list.
+    has_complete_list : bool
+        Whether the whole list is known and not just some of its entries.
+    listener : ServerListener or None
+        Listener that each added server gets.
+    """
 
     __slots__ = (
         "_observers",
@@ -176,23 +187,23 @@
         self.listener: ServerListener | None = None
 
     def find(self, name: str) -> BackendServer | None:
-        """Return the server of a name, or None."""
+        """Return the server with a name, or None."""
         return self._servers.get(name)
 
     def list_in_pools(self, pools: Iterable[str]) -> list[BackendServer]:
-        """Return the servers of the given pools."""
+        """Return the servers in the given pools."""
         wanted = frozenset(pools)
         return [item for item in self._servers.values() if item.pool in wanted]
 
     def observe(self, observer: Callable[[], None]) -> None:
-        """Call ``observer`` after each change of the list."""
+        """Call ``observer`` after each merge of the list."""
         self._observers.append(observer)
 
     def merge_list(self, processes: Iterable[ListedProcess]) -> None:
-        """Take over the platform's list.
+        """Merge the platform's list.
 
-        A server that has left the list is kept as leaving, so that its running
-        streams can still be attached to.
+        A server that is no longer listed is kept and marked as leaving, so that
+        requests can still attach to its running streams.
 
         Parameters
         ----------
--- a/packages/node/src/ebonyhaven_node/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/_sharing.py
@@ -1,4 +1,4 @@
-"""Tells other instances the consumption of workspaces and the load of servers."""
+"""Exchange of workspace usage and server load with other instances."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from ebonyhaven_node._frames import Frame, FrameKind
 from ebonyhaven_node._membership import MembershipController
 
-PERIOD_S = 0.5
+SEND_INTERVAL_S = 0.5
 
 
 class SchedulingDigestExchange:
     """Sends bounded digests to one random instance at a time.
 
-    The cost is the same for any number of instances; `UsageLedger` scales what it
-    holds of some of them to all.
+    The cost does not depend on the number of instances: `UsageLedger` extrapolates
+    the usage received from some of them to all.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
     reactor : IReactorTime
     rng : random.Random
     on_update : callable
-        Called after each digest that was taken over.
+        Called after each merged digest.
     """
 
     def __init__(
@@ -54,26 +54,26 @@
         self._membership = membership
         self._scheduler = scheduler
         self._rng = rng
-        self._on_news = on_update
+        self._on_update = on_update
         self._loop = task.LoopingCall(self._send)
         self._loop.clock = reactor
         channels.subscribe(FrameKind.USAGE, self._receive_usage)
         channels.subscribe(FrameKind.LOAD_DIGEST, self._receive_load)
 
     def start(self) -> None:
-        """Begin to send."""
-        self._loop.start(PERIOD_S, now=False)
+        """Start sending digests."""
+        self._loop.start(SEND_INTERVAL_S, now=False)
 
     def stop(self) -> None:
-        """Stop sending."""
+        """Stop sending digests."""
         self._loop.stop()
 
     def _send(self) -> None:
-        own = self._membership.own.name
+        own_name = self._membership.own.name
         peers = [
             record.name
             for record in self._membership.members
-            if record.state == MemberState.LIVE and record.name != own
+            if record.state == MemberState.LIVE and record.name != own_name
         ]
         self._scheduler.dispatcher.ledger.instances = 1 + len(peers)
         if not peers:
@@ -99,7 +99,7 @@
         except (TypeError, ValueError):
             return
         self._scheduler.merge_usage_digest(frame.sender, entries, time.monotonic())
-        self._on_news()
+        self._on_update()
 
     def _receive_load(self, frame: Frame) -> None:
         try:
@@ -114,7 +114,7 @@
             time.monotonic(),
         )
         dispatcher.change_count += 1
-        self._on_news()
+        self._on_update()
 
 
 def _round_usage(entry: UsageEntry) -> list[object]:
--- a/tests/node/test_channels.py
+++ b/tests/node/test_channels.py
@@ -15,12 +15,12 @@
 
 
 class Endpoint:
-    """Channels with the frames that arrived on them."""
+    """Channels and the frames received on them."""
 
     def __init__(self, **options):
         self.address = allocate_address()
         self.registry = CollectorRegistry()
-        self.arrived: list[Frame] = []
+        self.received: list[Frame] = []
         self.channels = Channels(
             reactor=reactor,
             address=self.address,
@@ -28,17 +28,17 @@
             rng=random.Random(1),
             options=ChannelOptions(**options),
         )
-        self.channels.subscribe(FrameKind.CONFIGURATION, self.arrived.append)
+        self.channels.subscribe(FrameKind.CONFIGURATION, self.received.append)
 
     def read(self, name: str, **labels: str) -> float:
         return self.registry.get_sample_value(f"ebonyhaven_control_{name}", labels)
 
     async def wait_for(self, count: int) -> list[Frame]:
         deadline = time.monotonic() + DEADLINE_S
-        while len(self.arrived) < count:
-            assert time.monotonic() < deadline, self.arrived
+        while len(self.received) < count:
+            assert time.monotonic() < deadline, self.received
             await task.deferLater(reactor, 0.01)
-        return self.arrived
+        return self.received
 
 
 def make_frame(payload) -> Frame:
@@ -53,7 +53,7 @@
                 second.address, make_frame(number), new_connection=new_connection
             )
             await second.wait_for(number + 1)
-        assert second.arrived == [make_frame(number) for number in range(3)]
+        assert second.received == [make_frame(number) for number in range(3)]
         assert second.read("bytes_total", direction="received") == first.read(
             "bytes_total", direction="sent"
         )
@@ -70,11 +70,13 @@
     run_in_reactor(exchange_frames, True)
 
 
-async def send_to_nobody():
+async def send_to_unreachable_instance():
     endpoint = Endpoint()
     try:
-        nobody = allocate_address()
-        queued = [endpoint.channels.send(nobody, make_frame(i)) for i in range(40)]
+        unused_address = allocate_address()
+        queued = [
+            endpoint.channels.send(unused_address, make_frame(i)) for i in range(40)
+        ]
         assert not queued[-1]
         assert endpoint.read("dropped_total", reason="queue_full") == queued.count(
             False
@@ -83,8 +85,8 @@
         endpoint.channels.close()
 
 
-def test_sending_to_an_absent_instance_drops_instead_of_waiting():
-    run_in_reactor(send_to_nobody)
+def test_messages_to_an_unreachable_instance_are_dropped_without_blocking():
+    run_in_reactor(send_to_unreachable_instance)
 
 
 async def receive_malformed():
@@ -106,7 +108,7 @@
     run_in_reactor(receive_malformed)
 
 
-async def fail_in_a_handler():
+async def raise_in_handler():
     sender, receiver = Endpoint(), Endpoint()
     try:
         receiver.channels.subscribe(FrameKind.QUERY, lambda frame: 1 / 0)
@@ -119,11 +121,11 @@
         receiver.channels.close()
 
 
-def test_channels_go_on_after_a_handler_failed():
-    run_in_reactor(fail_in_a_handler)
+def test_channels_receive_messages_after_a_handler_fails():
+    run_in_reactor(raise_in_handler)
 
 
-async def lose_everything():
+async def drop_all_messages():
     sender, receiver = Endpoint(loss=1.0), Endpoint()
     try:
         assert not sender.channels.send(receiver.address, make_frame(1))
@@ -133,5 +135,5 @@
         receiver.channels.close()
 
 
-def test_loss_for_development_drops_messages():
-    run_in_reactor(lose_everything)
+def test_loss_option_drops_messages():
+    run_in_reactor(drop_all_messages)
--- a/tests/node/test_digests.py
+++ b/tests/node/test_digests.py
@@ -27,7 +27,7 @@
     return TableDigest(code=code, table=table, clock=lambda: 0.0, **options)
 
 
-def test_version_rides_on_each_heartbeat_and_the_others_share_the_rest():
+def test_priority_digest_is_in_each_heartbeat_and_others_rotate():
     digests = DigestSet(on_fault=AssertionError, budget_bytes=64)
     for digest in (
         make_table_digest("l", 20),
@@ -44,7 +44,7 @@
     assert seen == {"c", "l", "u"}
 
 
-def test_entries_reach_the_other_side_and_are_reported_once():
+def test_received_entries_are_reported_once():
     merged = []
     source = DigestSet(on_fault=AssertionError, budget_bytes=200)
     source.add(make_table_digest("l", 3))
@@ -55,7 +55,7 @@
     assert [entry.key for entry in merged] == ["l0", "l1", "l2"]
 
 
-def test_malformed_payload_is_counted_and_harms_no_other_digest():
+def test_malformed_payload_is_counted_and_other_digests_are_merged():
     faults = []
     target = DigestSet(on_fault=faults.append)
     version = Version(1)
@@ -74,7 +74,7 @@
     assert faults == ["digest_too_long"]
 
 
-def test_fitting_entries_keeps_the_first_ones_within_the_budget():
+def test_fit_entries_returns_the_first_entries_within_the_budget():
     entries = [["s1", 12], ["s2", 345], ["s3", 6]]
     for budget_bytes in range(2, 60):
         chosen = fit_entries(entries, budget_bytes)
--- a/tests/node/test_pauses.py
+++ b/tests/node/test_pauses.py
@@ -12,20 +12,20 @@
     return detector
 
 
-def test_steady_ticks_are_no_pause_and_a_late_one_is():
+def test_only_a_late_tick_is_detected_as_a_pause():
     clock = Clock()
     with mock.patch("ebonyhaven_node._pauses.time.monotonic", clock.seconds):
         detector = make_detector(clock)
         clock.pump([TICK_INTERVAL_S] * 20)
         assert detector.find_pause_end() == float("-inf")
         clock.advance(PAUSE_THRESHOLD_S + TICK_INTERVAL_S)
-        woke_at = detector.find_pause_end()
-        assert woke_at == clock.seconds()
+        pause_ended_at = detector.find_pause_end()
+        assert pause_ended_at == clock.seconds()
         clock.pump([TICK_INTERVAL_S] * 20)
-        assert detector.find_pause_end() == woke_at
+        assert detector.find_pause_end() == pause_ended_at
 
 
-def test_overdue_tick_counts_before_the_timer_has_run():
+def test_overdue_tick_is_detected_before_the_timer_runs():
     clock = Clock()
     now = 100.0
     with mock.patch("ebonyhaven_node._pauses.time.monotonic", lambda: now):
