--- a/packages/node/src/ebonyhaven_node/forwarding/_followers.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempt_monitors.py
@@ -14,28 +14,28 @@
 )
 
 from ebonyhaven_node.forwarding._attempts import Attempt
+from ebonyhaven_node.forwarding._context import SILENT_SERVER_S, RelayContext
 from ebonyhaven_node.forwarding._events import EventSplitter
 from ebonyhaven_node.forwarding._messages import AnswerHead
-from ebonyhaven_node.forwarding._parts import SILENT_SERVER_S, RelayParts
-from ebonyhaven_node.forwarding._usage import EngineClaim
+from ebonyhaven_node.forwarding._reservations import EngineReservation
 
 
-class Follower:
+class AttemptMonitor:
     """What one attempt at a stream has shown so far.
 
     Parameters
     ----------
     attempt : Attempt
     route : Route
-    parts : RelayParts
-    claim : EngineClaim
+    parts : RelayContext
+    claim : EngineReservation
     """
 
     __slots__ = (
         "_attempt",
         "_claim",
         "_longest_estimate_s",
-        "_parts",
+        "_context",
         "_route",
         "checked_at",
         "error_body",
@@ -49,11 +49,15 @@
     )
 
     def __init__(
-        self, attempt: Attempt, route: Route, parts: RelayParts, claim: EngineClaim
+        self,
+        attempt: Attempt,
+        route: Route,
+        parts: RelayContext,
+        claim: EngineReservation,
     ):
         self._attempt = attempt
         self._route = route
-        self._parts = parts
+        self._context = parts
         self._claim = claim
         self.head: AnswerHead | None = None
         self.heard_at = self.started_at = parts.clock()
@@ -68,7 +72,7 @@
     def take_head(self, head: AnswerHead) -> None:
         """Take note of the head of the answer."""
         self.head = head
-        self.heard_at = self._parts.clock()
+        self.heard_at = self._context.clock()
 
     def is_stream(self) -> bool:
         """Tell whether the answer is the server's own stream."""
@@ -81,7 +85,7 @@
             self.first_at = now
             tokens = self._claim.prefill_tokens
             if tokens and self._attempt.backend.prefill_tokens == tokens:
-                self._parts.prefill.record(tokens, now - self.started_at)
+                self._context.prefill.record(tokens, now - self.started_at)
             self._claim.end_prefill()
         else:
             self.longest_gap_s = max(self.longest_gap_s, now - self.heard_at)
@@ -90,9 +94,9 @@
 
     def record_whole_answer(self) -> None:
         """Take note of how long an answer took that this server gave alone."""
-        self._parts.read_answer_times(self._route.name).record(
+        self._context.get_stream_durations(self._route.name).record(
             first_event_s=self.first_at - self.started_at,
-            streaming_s=self._parts.clock() - self.first_at,
+            streaming_s=self._context.clock() - self.first_at,
             events=self.events,
         )
 
@@ -115,9 +119,9 @@
         Those that were read meanwhile still count, as this one waited for them.
         """
         backend = self._attempt.backend
-        peers = self._parts.peers.sum_by_server(self._parts.clock())
+        peers = self._context.peers.sum_by_server(self._context.clock())
         others = peers.get(backend.server_id, EngineUse()).prefill_tokens
-        estimate_s = self._parts.prefill.estimate_s(backend.prefill_tokens + others)
+        estimate_s = self._context.prefill.estimate_s(backend.prefill_tokens + others)
         self._longest_estimate_s = max(self._longest_estimate_s, estimate_s)
         return self._longest_estimate_s
 
@@ -132,7 +136,7 @@
 
     def is_doubtful(self) -> bool:
         """Tell whether the server said nothing to anybody for a while."""
-        now = self._parts.clock()
+        now = self._context.clock()
         backend = self._attempt.backend
         heard_at = max(backend.last_received_at, self.started_at)
         return now - heard_at > SILENT_SERVER_S
--- a/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
@@ -5,6 +5,7 @@
 from ebonyhaven_decisions.forwarding import Backend
 
 from ebonyhaven_node.forwarding._connection_pool import PendingConnection
+from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._http_client import (
     HttpConnection,
     OutgoingRequest,
@@ -21,7 +22,6 @@
     ForwardRequest,
     Headers,
 )
-from ebonyhaven_node.forwarding._parts import RelayParts
 
 
 class Attempt(OutgoingRequest):
@@ -35,7 +35,7 @@
     inbox : Inbox
         Gets `AnswerStarted`, `AnswerData`, and then either `AnswerEnded` or
         `AttemptFailed`.
-    parts : RelayParts
+    context : RelayContext
 
     Attributes
     ----------
@@ -52,7 +52,7 @@
         backend: Backend,
         plan: AttemptPlan,
         inbox: Inbox,
-        parts: RelayParts,
+        context: RelayContext,
     ):
         self.backend = backend
         self.head: AnswerHead | None = None
@@ -62,20 +62,20 @@
         self.plan = plan
         self._request = request
         self._inbox = inbox
-        self._parts = parts
+        self._context = context
         self._connection: HttpConnection | None = None
         self._pending: PendingConnection | None = None
 
     def start(self) -> None:
         """Send the request, on a new connection if need be."""
         self.backend.in_flight += 1
-        self.sent_at = self._parts.clock()
+        self.sent_at = self._context.clock()
         address = self.backend.entry.address
-        connection = self._parts.pool.take_idle(address)
+        connection = self._context.pool.take_idle(address)
         if connection is not None:
             self._send(connection)
             return
-        self._pending = self._parts.pool.connect(
+        self._pending = self._context.pool.connect(
             address, on_made=self._send, on_failed=self._fail_to_connect
         )
 
@@ -91,10 +91,10 @@
 
     def accept_head(self, status: int, headers: Headers) -> bool:
         """See `OutgoingRequest.accept_head`."""
-        head = self._parts.dialect.read_head(status, headers)
+        head = self._context.dialect.read_head(status, headers)
         if head.request_id is not None and head.request_id != self._request.request_id:
             return False
-        now = self._parts.clock()
+        now = self._context.clock()
         self.backend.record_received(now)
         if head.load is not None:
             self.backend.record_load(head.load, now)
@@ -104,7 +104,7 @@
 
     def take_data(self, data: bytes) -> None:
         """See `OutgoingRequest.take_data`."""
-        self.backend.last_received_at = self._parts.clock()
+        self.backend.last_received_at = self._context.clock()
         if not self.is_over:
             self._inbox.put(AnswerData(self, data))
 
@@ -128,8 +128,8 @@
             return
         self._connection = connection
         self.was_sent = True
-        self.sent_at = self._parts.clock()
-        headers = self._parts.dialect.write_headers(
+        self.sent_at = self._context.clock()
+        headers = self._context.dialect.write_headers(
             self._request, self.backend.server_id, self.plan
         )
         sent = RequestBytes(
@@ -144,10 +144,10 @@
         if self.is_over:
             return
         self._finish()
-        self._parts.count_unreachable(self.backend)
+        self._context.report_unreachable(self.backend)
         self._inbox.put(AttemptFailed(self, False, True, reason))
 
     def _finish(self) -> None:
         self.is_over = True
         self.backend.in_flight -= 1
-        self._parts.waiters.wake()
+        self._context.capacity_notifier.notify()
--- a/packages/node/src/ebonyhaven_node/forwarding/_calls.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_calls.py
@@ -12,6 +12,7 @@
 
 from ebonyhaven_node._failures import give_up, refuse
 from ebonyhaven_node.forwarding._attempts import Attempt
+from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
@@ -27,7 +28,6 @@
     NO_SERVER_RETRY_S,
     PROMISING_STATUSES,
 )
-from ebonyhaven_node.forwarding._parts import RelayParts
 
 HEDGE_SHARE = 0.5  # of the target latency: a second try still has the other half
 REFUSALS_MAX = 4  # servers that may refuse before the caller is told to come back
@@ -54,7 +54,7 @@
     service : str
     workspace : str or None
     exchange : Exchange
-    parts : RelayParts
+    context : RelayContext
     """
 
     def __init__(
@@ -65,14 +65,14 @@
         service: str,
         workspace: str | None,
         exchange: Exchange,
-        parts: RelayParts,
+        parts: RelayContext,
     ):
         self._request = request
         self._route = route
         self._service = service
         self._workspace = workspace
         self._exchange = exchange
-        self._parts = parts
+        self._context = parts
         self._inbox = Inbox(parts.reactor)
         self._attempts: list[Attempt] = []
         self._running: list[Attempt] = []
@@ -99,19 +99,19 @@
         RequestFailure
             When no server gave an answer.
         """
-        self._parts.budget.record_request(self._service, self._parts.clock())
-        self._parts.waiters.join(self._inbox)
+        self._context.budget.record_request(self._service, self._context.clock())
+        self._context.capacity_notifier.subscribe(self._inbox)
         try:
             await self._drive()
         finally:
-            self._parts.waiters.leave(self._inbox)
+            self._context.capacity_notifier.unsubscribe(self._inbox)
             for attempt in self._attempts:
                 attempt.cancel()
 
     async def _drive(self) -> None:
         self._launch()
         while not self._exchange.is_done:
-            now = self._parts.clock()
+            now = self._context.clock()
             if now >= self._deadline:
                 raise self._describe_timeout()
             message = await self._inbox.get(self._next_timeout(now))
@@ -123,7 +123,7 @@
 
     def _go_on(self) -> None:
         """Start another attempt if one is due, or give up if none can help."""
-        now = self._parts.clock()
+        now = self._context.clock()
         if self._running:
             if self._is_hedge_due(now):
                 self._launch()
@@ -186,12 +186,14 @@
 
     def _launch(self) -> bool:
         """Send the request to another server, if there is one and the budget allows."""
-        now = self._parts.clock()
+        now = self._context.clock()
         backend = self._choose(now)
         if backend is None:
             return False
-        if self._arrivals and not self._parts.budget.acquire_retry(self._service, now):
-            self._parts.metrics.budget_refusals.inc()
+        if self._arrivals and not self._context.budget.acquire_retry(
+            self._service, now
+        ):
+            self._context.metrics.budget_refusals.inc()
             self._is_budget_spent = True
             return False
         attempt = Attempt(
@@ -201,7 +203,7 @@
                 remaining_s=self._deadline - now, workspace=self._workspace
             ),
             inbox=self._inbox,
-            parts=self._parts,
+            context=self._context,
         )
         _log.info(
             "call_sent",
@@ -220,7 +222,7 @@
         return True
 
     def _choose(self, now: float) -> Backend | None:
-        directory = self._parts.state.backends
+        directory = self._context.state.backends
         usable = (
             directory.list_usable(self._service, now, self._barred)
             or directory.list_ready(self._service, self._barred)
@@ -228,9 +230,9 @@
         )
         return choose_backend(
             directory.avoid_suspect_data_centres(usable, now),
-            data_centre=self._parts.data_centre,
+            data_centre=self._context.data_centre,
             now=now,
-            rng=self._parts.rng,
+            rng=self._context.rng,
         )
 
     def _take(self, message: object) -> None:
@@ -258,10 +260,10 @@
     def _end_attempt(self, attempt: Attempt) -> None:
         answer = self._answers.pop(attempt)
         head = answer.head
-        latency_s = self._parts.clock() - attempt.sent_at
+        latency_s = self._context.clock() - attempt.sent_at
         if head.not_run:
             if head.is_other_process:
-                self._parts.count_replaced(attempt.backend, head.other_server)
+                self._context.report_replaced(attempt.backend, head.other_server)
             self._refusals += 1
             self._barred.add(attempt.backend.key)
             self._note(attempt, f"server refused with {head.status}")
@@ -293,7 +295,7 @@
             self._attempts.remove(attempt)
             self._arrivals -= 1
             if self._arrivals:
-                self._parts.budget.refund_retry(self._service, self._parts.clock())
+                self._context.budget.refund_retry(self._service, self._context.clock())
         _log.info(
             "attempt_failed",
             request=self._request.request_id,
@@ -307,11 +309,11 @@
         self._last_peer = attempt.backend.server_id
 
     def _count(self, end: str) -> None:
-        self._parts.metrics.attempts.labels(self._route.kind.value, end).inc()
+        self._context.metrics.attempts.labels(self._route.kind.value, end).inc()
 
     def _deliver(self, head: AnswerHead, body: bytes) -> None:
-        elapsed_s = self._parts.clock() - self._request.arrived_at
-        self._parts.metrics.latency.labels(self._route.kind.value).observe(elapsed_s)
+        elapsed_s = self._context.clock() - self._request.arrived_at
+        self._context.metrics.latency.labels(self._route.kind.value).observe(elapsed_s)
         self._exchange.respond(head.status, head.headers, body)
 
     def _describe_timeout(self) -> Exception:
@@ -333,4 +335,4 @@
     def _suspect_if_silent(self, attempt: Attempt) -> None:
         """Keep work away from a server that said nothing to anybody meanwhile."""
         if attempt.backend.last_received_at < attempt.sent_at:
-            self._parts.count_unreachable(attempt.backend)
+            self._context.report_unreachable(attempt.backend)
--- a/packages/node/src/ebonyhaven_node/forwarding/_parts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_context.py
@@ -20,7 +20,6 @@
 
 from ebonyhaven_node._crash_reports import CrashReports
 from ebonyhaven_node.forwarding._connection_pool import ConnectionPool
-from ebonyhaven_node.forwarding._copy_exchange import CopyExchange
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
     BackendChecked,
@@ -29,6 +28,7 @@
     ForwardRequest,
 )
 from ebonyhaven_node.forwarding._metrics import ForwardingMetrics
+from ebonyhaven_node.forwarding._shared_copy_index import SharedCopyIndex
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import BackendDialect, RunCopier
 
@@ -40,7 +40,7 @@
 _log = structlog.get_logger()
 
 
-class Suspicions:
+class SuspicionNotifier:
     """Tells all streams that a server is lost or silent."""
 
     __slots__ = ("_inboxes",)
@@ -63,7 +63,7 @@
             inbox.put(suspicion)
 
 
-class Waiters:
+class CapacityNotifier:
     """Requests that wait for room, woken when something changes."""
 
     __slots__ = ("_inboxes",)
@@ -89,7 +89,7 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class RelayParts:
+class RelayContext:
     """Collaborators of the relays.
 
     Parameters
@@ -101,20 +101,20 @@
     budget : ServiceRetryBudget
     peers : PeerEngineUse
     prefill : PrefillRate
-    answer_times : dict of str to StreamDurations
+    stream_durations : dict of str to StreamDurations
         By route, as many as routes have answered streams.
-    suspicions : Suspicions
-    waiters : Waiters
+    suspicion_notifier : SuspicionNotifier
+    capacity_notifier : CapacityNotifier
     metrics : ForwardingMetrics
     crashes : CrashReports
-    copies : CopyExchange
+    copies : SharedCopyIndex
     data_centre : str
         Where this instance is.
     reactor : IReactorTime
     rng : random.Random
     clock : callable
         Returns seconds.
-    on_use : callable
+    on_usage_change : callable
         Called when what this instance occupies on engines changed.
     on_loss : callable
         Called with each server that this instance found lost or silent.
@@ -129,21 +129,21 @@
     budget: ServiceRetryBudget
     peers: PeerEngineUse
     prefill: PrefillRate
-    answer_times: dict[str, StreamDurations]
-    suspicions: Suspicions
-    waiters: Waiters
+    stream_durations: dict[str, StreamDurations]
+    suspicion_notifier: SuspicionNotifier
+    capacity_notifier: CapacityNotifier
     metrics: ForwardingMetrics
     crashes: CrashReports
-    copies: CopyExchange
+    copies: SharedCopyIndex
     data_centre: str
     reactor: IReactorTime
     rng: random.Random
     clock: Callable[[], float] = time.monotonic
-    on_use: Callable[[], None] = lambda: None
+    on_usage_change: Callable[[], None] = lambda: None
     on_loss: Callable[[Backend], None] = lambda _: None
     on_other_process: Callable[[Backend, str], None] = lambda *_: None
 
-    def read_answer_times(self, route_name: str) -> StreamDurations:
+    def get_stream_durations(self, route_name: str) -> StreamDurations:
         """Return what is known of the answers of a route.
 
         Parameters
@@ -154,38 +154,40 @@
         -------
         StreamDurations
         """
-        return self.answer_times.setdefault(route_name, StreamDurations())
+        return self.stream_durations.setdefault(route_name, StreamDurations())
 
-    def count_unreachable(self, backend: Backend, *, is_hearsay: bool = False) -> None:
+    def report_unreachable(
+        self, backend: Backend, *, is_from_peer: bool = False
+    ) -> None:
         """Keep new work away from a server, and tell the streams near it.
 
         Parameters
         ----------
         backend : Backend
-        is_hearsay : bool
+        is_from_peer : bool
             Whether another instance found out; it is not told on then.
         """
         now = self.clock()
         if now >= backend.suspect_until:
-            self._log_suspected(backend, now, is_hearsay)
+            self._log_suspected(backend, now, is_from_peer)
         self.state.backends.record_unreachable(backend, now)
         self.pool.close_idle(backend.entry.address)
-        self.suspicions.tell(backend)
-        if not is_hearsay:
+        self.suspicion_notifier.notify(backend)
+        if not is_from_peer:
             self.on_loss(backend)
 
-    def _log_suspected(self, backend: Backend, now: float, is_hearsay: bool) -> None:
+    def _log_suspected(self, backend: Backend, now: float, is_from_peer: bool) -> None:
         is_heard = math.isfinite(backend.last_received_at)
         _log.info(
             "backend_suspected",
             server=backend.server_id,
             data_centre=backend.entry.data_centre,
-            found_by="another instance" if is_hearsay else "this instance",
+            found_by="another instance" if is_from_peer else "this instance",
             silent_s=round(now - backend.last_received_at, 3) if is_heard else None,
             failures=backend.failures + 1,
         )
 
-    def count_replaced(self, backend: Backend, other_server: str | None) -> None:
+    def report_replaced(self, backend: Backend, other_server: str | None) -> None:
         """Send no more to a process in whose place another one answered.
 
         Parameters
@@ -198,7 +200,7 @@
         if other_server is not None:
             self.on_other_process(backend, other_server)
 
-    def count_death(self, request: ForwardRequest, backend: Backend) -> None:
+    def report_death(self, request: ForwardRequest, backend: Backend) -> None:
         """Take note that a server was lost before the first event of a stream.
 
         It is evidence against the content of the request only if the server is
@@ -213,7 +215,7 @@
         def take_check(is_alive: bool) -> None:
             if is_alive:
                 return
-            self.count_unreachable(backend)
+            self.report_unreachable(backend)
             self.reactor.callLater(
                 NEIGHBOURS_TOLD_S, self._judge_death, request.content, backend
             )
--- a/packages/node/src/ebonyhaven_node/forwarding/_earlier_runs.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_earlier_runs.py
@@ -5,8 +5,8 @@
 import structlog
 from ebonyhaven_decisions.forwarding import Backend, Route, RunCopyLocation
 
+from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._messages import CopyPlace, ForwardRequest
-from ebonyhaven_node.forwarding._parts import RelayParts
 
 _log = structlog.get_logger()
 
@@ -18,13 +18,13 @@
     ----------
     request : ForwardRequest
     route : Route
-    parts : RelayParts
+    parts : RelayContext
     """
 
-    def __init__(self, *, request: ForwardRequest, route: Route, parts: RelayParts):
+    def __init__(self, *, request: ForwardRequest, route: Route, parts: RelayContext):
         self._request = request
         self._route = route
-        self._parts = parts
+        self._context = parts
         self._place: RunCopyLocation | None = None
 
     @property
@@ -39,9 +39,9 @@
             return
         if not self._route.may_retry:
             return
-        place = self._place = await self._parts.copies.find(run_key)
+        place = self._place = await self._context.copies.find(run_key)
         source = "caller_prompt" if place is None else "caller_copy"
-        self._parts.metrics.resumes.labels(source).inc()
+        self._context.metrics.resumes.labels(source).inc()
         _log.info(
             "caller_came_back",
             request=self._request.request_id,
@@ -65,7 +65,7 @@
         place, self._place = self._place, None
         if place is None:
             return None
-        holder = self._parts.state.backends.find(place.holder_id)
+        holder = self._context.state.backends.find(place.holder_id)
         if holder is None or not holder.can_resume_from_copy(now):
             return None
         return holder, CopyPlace(place.address, place.handle)
--- a/packages/node/src/ebonyhaven_node/forwarding/_filters.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_filters.py
@@ -20,6 +20,7 @@
 from ebonyhaven_node._failures import refuse
 from ebonyhaven_node._filter_chain import Filter, Proceed
 from ebonyhaven_node.forwarding._calls import CallRelay
+from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._messages import ForwardRequest
 from ebonyhaven_node.forwarding._metrics import ForwardingMetrics
@@ -27,7 +28,6 @@
     LEAVING_RETRY_S,
     NOT_READY_RETRY_S,
 )
-from ebonyhaven_node.forwarding._parts import RelayParts
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding._streams import StreamRelay
 from ebonyhaven_node.forwarding.interfaces import CallerDialect
@@ -217,18 +217,18 @@
 
     Parameters
     ----------
-    parts : RelayParts
+    context : RelayContext
     rng : random.Random
     """
 
-    def __init__(self, parts: RelayParts, rng: random.Random):
-        self._parts = parts
+    def __init__(self, context: RelayContext, rng: random.Random):
+        self._context = context
         self._rng = rng
 
     async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
         """See `Filter.handle`."""
         route = work.route
-        active = self._parts.metrics.active.labels(route.kind.value)
+        active = self._context.metrics.active.labels(route.kind.value)
         with active.track_inprogress():
             await self._build_relay(work).run()
         await proceed(work)
@@ -243,7 +243,7 @@
             "service": service,
             "workspace": workspace.name if workspace else None,
             "exchange": work.exchange,
-            "parts": self._parts,
+            "parts": self._context,
         }
         if route.kind is not RequestKind.STREAM:
             return CallRelay(**shared)
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -35,7 +35,11 @@
     SWEEP_INTERVAL_S,
     ConnectionPool,
 )
-from ebonyhaven_node.forwarding._copy_exchange import CopyExchange
+from ebonyhaven_node.forwarding._context import (
+    CapacityNotifier,
+    RelayContext,
+    SuspicionNotifier,
+)
 from ebonyhaven_node.forwarding._filters import (
     AdmitFilter,
     CrashFilter,
@@ -48,7 +52,7 @@
 )
 from ebonyhaven_node.forwarding._http_server import CallerServer, Exchange
 from ebonyhaven_node.forwarding._metrics import ForwardingMetrics
-from ebonyhaven_node.forwarding._parts import RelayParts, Suspicions, Waiters
+from ebonyhaven_node.forwarding._shared_copy_index import SharedCopyIndex
 from ebonyhaven_node.forwarding._sharing import REFRESH_S, StateSharing, UseSharing
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import (
@@ -161,14 +165,14 @@
             count_connections=lambda: self.pool.opened,
         )
         self._peers = PeerEngineUse(ttl_s=3 * REFRESH_S)
-        self._waiters = Waiters()
+        self._capacity_notifier = CapacityNotifier()
         self._budget = ServiceRetryBudget(
             ratio=settings.repeat_ratio,
             window_s=settings.repeat_window_s,
             slack=settings.repeat_slack,
         )
         self._sharing: UseSharing | None = None
-        self._copies = CopyExchange(reactor, clock)
+        self._copy_index = SharedCopyIndex(reactor, clock)
         self._copier = build_copier(self.pool)
         self._chain = self._build_chain(caller_dialect, backend_dialect)
         self.server = CallerServer(
@@ -202,7 +206,7 @@
         sweep.start(SWEEP_INTERVAL_S, now=False)
         self._stack.callback(sweep.stop)
         self._stack.callback(self.pool.close)
-        self.state.observe(self._waiters.wake)
+        self.state.observe(self._capacity_notifier.notify)
         self.source.start()
         self._stack.callback(self.source.stop)
         _log.info("instance_started", instance=self._settings.instance)
@@ -306,19 +310,19 @@
             channels=channels,
             reactor=self._reactor,
             rng=self._rng,
-            on_news=self._waiters.wake,
-            on_loss=lambda backend: self._parts.count_unreachable(
-                backend, is_hearsay=True
+            on_news=self._capacity_notifier.notify,
+            on_loss=lambda backend: self._context.report_unreachable(
+                backend, is_from_peer=True
             ),
         )
         self._stack.callback(self._sharing.stop)
-        self._copies.connect(self.membership, channels)
+        self._copy_index.connect(self.membership, channels)
         self.membership.start()
 
     def _build_chain(
         self, caller_dialect: CallerDialect, backend_dialect: BackendDialect
     ):
-        parts = self._parts = RelayParts(
+        context = self._context = RelayContext(
             state=self.state,
             pool=self.pool,
             dialect=backend_dialect,
@@ -326,19 +330,19 @@
             budget=self._budget,
             peers=self._peers,
             prefill=PrefillRate(),
-            answer_times={},
-            suspicions=Suspicions(),
-            waiters=self._waiters,
+            stream_durations={},
+            suspicion_notifier=SuspicionNotifier(),
+            capacity_notifier=self._capacity_notifier,
             metrics=self._metrics,
             data_centre=self._settings.data_centre,
             reactor=self._reactor,
             rng=self._rng,
             clock=self._clock,
-            on_use=self._note_use,
+            on_usage_change=self._note_use,
             on_loss=self._note_loss,
             on_other_process=self._adoption.note_other_process,
             crashes=self._crashes,
-            copies=self._copies,
+            copy_index=self._copy_index,
         )
         return build_chain(
             [
@@ -348,7 +352,7 @@
                 IdentifyFilter(),
                 CrashFilter(self._crashes),
                 AdmitFilter(self._takes),
-                RelayFilter(parts, self._rng),
+                RelayFilter(context, self._rng),
             ]
         )
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_progress.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_progress.py
@@ -7,9 +7,9 @@
 import structlog
 from ebonyhaven_decisions.forwarding import Route
 
+from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._messages import AnswerHead, ForwardRequest
-from ebonyhaven_node.forwarding._parts import RelayParts
 
 _log = structlog.get_logger()
 
@@ -22,7 +22,7 @@
     request : ForwardRequest
     route : Route
     exchange : Exchange
-    parts : RelayParts
+    parts : RelayContext
 
     Attributes
     ----------
@@ -44,12 +44,12 @@
         request: ForwardRequest,
         route: Route,
         exchange: Exchange,
-        parts: RelayParts,
+        parts: RelayContext,
     ):
         self._request = request
         self._route = route
         self._exchange = exchange
-        self._parts = parts
+        self._context = parts
         self._delivered_at = 0.0
         self.position = request.last_event_id
         self.delivered = 0
@@ -129,7 +129,7 @@
         self.is_complete = True
 
     def _advance(self, block: bytes) -> bool:
-        event_id = self._parts.dialect.read_event_id(block)
+        event_id = self._context.dialect.read_event_id(block)
         if event_id is None:
             return True
         if self.position is not None and not _is_after(event_id, self.position):
@@ -138,7 +138,7 @@
         return True
 
     def _note_first(self, elapsed_s: float) -> None:
-        self._parts.metrics.first_event.observe(elapsed_s)
+        self._context.metrics.first_event.observe(elapsed_s)
         if elapsed_s > self._route.target_latency_s:
             self._note_late("first_event", elapsed_s)
 
@@ -148,8 +148,8 @@
             self._note_late("pause", pause_s)
         if self.resume_source is None:
             return
-        self._parts.metrics.resumes.labels(self.resume_source).inc()
-        self._parts.metrics.resume_pause.observe(pause_s)
+        self._context.metrics.resumes.labels(self.resume_source).inc()
+        self._context.metrics.resume_pause.observe(pause_s)
         _log.info(
             "stream_resumed",
             request=self._request.request_id,
--- a/packages/node/src/ebonyhaven_node/forwarding/_usage.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_reservations.py
@@ -7,7 +7,7 @@
 from ebonyhaven_decisions.forwarding import Backend, TokenDemand
 
 
-class EngineClaim:
+class EngineReservation:
     """Counts a run on its engine and its copy on another one until released.
 
     Parameters
--- a/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
@@ -17,6 +17,7 @@
 )
 from twisted.internet.defer import CancelledError, Deferred, ensureDeferred
 
+from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
     BackendChecked,
@@ -24,9 +25,8 @@
     CopyMade,
     CopyPlace,
 )
-from ebonyhaven_node.forwarding._parts import RelayParts
-from ebonyhaven_node.forwarding._stream_servers import StreamServers
-from ebonyhaven_node.forwarding._usage import EngineClaim
+from ebonyhaven_node.forwarding._reservations import EngineReservation
+from ebonyhaven_node.forwarding._stream_servers import StreamServerSelector
 
 RETRY_S = 0.5  # a failed copy is tried again while most of the run is still to come
 REFRESH_SHARE = 0.4  # of the time that an engine keeps a copy without news
@@ -52,12 +52,12 @@
         Engine of the first copy.
     engine : EngineTraits or None
         None if the run needs no copy.
-    claim : EngineClaim
+    claim : EngineReservation
         Counts what the copy occupies.
-    servers : StreamServers
+    servers : StreamServerSelector
     inbox : Inbox
         Gets `CopyMade`.
-    parts : RelayParts
+    parts : RelayContext
     """
 
     def __init__(
@@ -68,10 +68,10 @@
         source: Backend,
         holder: Backend | None,
         engine: EngineTraits | None,
-        claim: EngineClaim,
-        servers: StreamServers,
+        claim: EngineReservation,
+        servers: StreamServerSelector,
         inbox: Inbox,
-        parts: RelayParts,
+        parts: RelayContext,
     ):
         self.holder = holder
         self._request_id = request_id
@@ -82,7 +82,7 @@
         self._claim = claim
         self._servers = servers
         self._inbox = inbox
-        self._parts = parts
+        self._context = parts
         self._handle: str | None = None
         self._is_made = holder is not None
         self._asked_at = -math.inf
@@ -106,7 +106,7 @@
         """
         if not self._is_made or self.holder is None:
             return False
-        known = self._parts.state.backends.find(self.holder.server_id)
+        known = self._context.state.backends.find(self.holder.server_id)
         return known is self.holder and self.holder.can_resume_from_copy(now)
 
     def review(self, now: float) -> None:
@@ -164,12 +164,12 @@
         """
         is_dropped = self._handle is not None and not is_needed
         if self._run_key is not None and (is_complete or is_dropped):
-            self._parts.copies.forget(self._run_key)
+            self._context.copies.forget(self._run_key)
         if self._asking is not None:
             self._asking.cancel()
         if self._handle is not None and not is_needed:
             dropping = ensureDeferred(
-                self._parts.copier.drop_copy(
+                self._context.copier.drop_copy(
                     source=self._source.entry.address, handle=self._handle
                 )
             )
@@ -184,7 +184,7 @@
     def _tell(self, place: RunCopyLocation | None) -> None:
         if self._run_key is not None and place != self._told:
             self._told = place
-            self._parts.copies.tell(self._run_key, place)
+            self._context.copies.tell(self._run_key, place)
 
     def _note_undropped(self, failure) -> None:
         """Log that a copy was not freed; it expires by itself."""
@@ -196,10 +196,10 @@
             return
         if suspicion.data_centre != self.holder.entry.data_centre:
             return
-        now = self._parts.clock()
+        now = self._context.clock()
         if now - self._checked_at >= SERVER_PROBE_INTERVAL_S:
             self._checked_at = now
-            self._parts.check(self.holder, self._inbox)
+            self._context.check(self.holder, self._inbox)
 
     def _lose(self, reason: str) -> None:
         self._is_made = False
@@ -223,7 +223,7 @@
     def _ask(self, holder: Backend, now: float) -> None:
         self._asked_at = now
         asking = self._asking = ensureDeferred(
-            self._parts.copier.copy_run(
+            self._context.copier.copy_run(
                 source=self._source.entry.address,
                 request_id=self._request_id,
                 target=holder.entry.address,
@@ -247,7 +247,7 @@
         was_made, self._is_made = self._is_made, handle is not None
         self._handle = handle
         if not was_made and self._is_made:
-            self._parts.metrics.copies.labels("made").inc()
+            self._context.metrics.copies.labels("made").inc()
             _log.info("run_copied", request=self._request_id, holder=holder.server_id)
         if handle is None:
-            self._parts.metrics.copies.labels("refused").inc()
+            self._context.metrics.copies.labels("refused").inc()
--- a/packages/node/src/ebonyhaven_node/forwarding/_copy_exchange.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_shared_copy_index.py
@@ -25,7 +25,7 @@
 _log = structlog.get_logger()
 
 
-class CopyExchange:
+class SharedCopyIndex:
     """Tells some other instances where copies of runs are, and asks them.
 
     Works alone until it is connected.
--- a/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
@@ -21,7 +21,7 @@
 from ebonyhaven_node._digests import Digest
 from ebonyhaven_node._frames import Frame, FrameKind
 from ebonyhaven_node._membership import MembershipController
-from ebonyhaven_node.forwarding._parts import SILENT_SERVER_S
+from ebonyhaven_node.forwarding._context import SILENT_SERVER_S
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import StateSource
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
@@ -7,8 +7,9 @@
 
 from ebonyhaven_decisions.forwarding import SERVER_PROBE_INTERVAL_S, SilenceLimits
 
+from ebonyhaven_node.forwarding._attempt_monitors import AttemptMonitor
 from ebonyhaven_node.forwarding._attempts import Attempt
-from ebonyhaven_node.forwarding._followers import Follower
+from ebonyhaven_node.forwarding._context import SILENT_SERVER_S, RelayContext
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
@@ -21,12 +22,11 @@
     BackendSuspected,
 )
 from ebonyhaven_node.forwarding._outcomes import PROMISING_STATUSES
-from ebonyhaven_node.forwarding._parts import SILENT_SERVER_S, RelayParts
 from ebonyhaven_node.forwarding._progress import StreamProgress
 from ebonyhaven_node.forwarding._run_copies import RunCopy
 
 
-class End(enum.Enum):
+class AttemptEnd(enum.Enum):
     """How an attempt ended.
 
     ``NOT_RUN`` and ``UNREACHABLE`` prove that nothing ran; after the others the
@@ -46,13 +46,13 @@
 
     Parameters
     ----------
-    end : End
+    end : AttemptEnd
     reason : str
     failure : tuple of (AnswerHead, bytes) or None
         The server's own failure, if it can be passed on.
     """
 
-    end: End
+    end: AttemptEnd
     reason: str
     failure: tuple[AnswerHead, bytes] | None = None
 
@@ -63,12 +63,12 @@
     Parameters
     ----------
     attempt : Attempt
-    follower : Follower
+    follower : AttemptMonitor
     copy : RunCopy
     progress : StreamProgress
     exchange : Exchange
     inbox : Inbox
-    parts : RelayParts
+    parts : RelayContext
     deadline : float
         End of the request, seconds.
     """
@@ -77,12 +77,12 @@
         self,
         *,
         attempt: Attempt,
-        follower: Follower,
+        follower: AttemptMonitor,
         copy: RunCopy,
         progress: StreamProgress,
         exchange: Exchange,
         inbox: Inbox,
-        parts: RelayParts,
+        parts: RelayContext,
         deadline: float,
     ):
         self._attempt = attempt
@@ -92,7 +92,7 @@
         self._progress = progress
         self._exchange = exchange
         self._inbox = inbox
-        self._parts = parts
+        self._context = parts
         self._deadline = deadline
 
     async def follow(self) -> AttemptResult:
@@ -103,14 +103,14 @@
         AttemptResult
         """
         while True:
-            now = self._parts.clock()
+            now = self._context.clock()
             if self._follower.events:
                 self._copy.review(now)
             limits = self._follower.read_limits(self._copy.is_usable(now))
             wait_s = self._follower.read_wait(limits, now)
             message = await self._inbox.get(min(wait_s, self._deadline - now))
             if self._exchange.is_done:
-                return AttemptResult(End.DONE, "the caller left")
+                return AttemptResult(AttemptEnd.DONE, "the caller left")
             self._copy.take(message)
             result = self._take(message, limits)
             if result is not None:
@@ -144,7 +144,7 @@
             return None
         if suspicion.server_key == self._backend.key:
             reason = "the server was found silent by another stream"
-            return AttemptResult(End.SILENT, reason)
+            return AttemptResult(AttemptEnd.SILENT, reason)
         is_near = suspicion.data_centre == self._backend.entry.data_centre
         if is_near and not self._follower.events:
             self._check()
@@ -153,33 +153,33 @@
     def _handle_dead(self) -> AttemptResult | None:
         if not self._follower.is_doubtful():
             return None
-        self._parts.count_unreachable(self._backend)
-        return AttemptResult(End.SILENT, "the server accepts no connection")
+        self._context.report_unreachable(self._backend)
+        return AttemptResult(AttemptEnd.SILENT, "the server accepts no connection")
 
     def _handle_silence(self, limits: SilenceLimits) -> AttemptResult | None:
-        now = self._parts.clock()
+        now = self._context.clock()
         silent_s = now - self._follower.heard_at
         if now < self._deadline and silent_s < limits.resume_after_s:
             self._check()
             return None
         is_unheard = now - self._backend.last_received_at > SILENT_SERVER_S
         if is_unheard and self._follower.events:
-            self._parts.count_unreachable(self._backend)
-        end = End.SILENT if self._attempt.was_sent else End.UNREACHABLE
+            self._context.report_unreachable(self._backend)
+        end = AttemptEnd.SILENT if self._attempt.was_sent else AttemptEnd.UNREACHABLE
         return AttemptResult(end, f"silent for {silent_s:.2f} s")
 
     def _check(self) -> None:
-        now = self._parts.clock()
+        now = self._context.clock()
         if now - self._follower.checked_at >= SERVER_PROBE_INTERVAL_S:
             self._follower.checked_at = now
-            self._parts.check(self._backend, self._inbox)
+            self._context.check(self._backend, self._inbox)
 
     # -- the answer --------------------------------------------------------
 
     def _take_head(self, head: AnswerHead) -> None:
         self._follower.take_head(head)
         if head.is_other_process:
-            self._parts.count_replaced(self._backend, head.other_server)
+            self._context.report_replaced(self._backend, head.other_server)
 
     def _take_data(self, data: bytes) -> AttemptResult | None:
         if not self._follower.is_stream():
@@ -188,8 +188,8 @@
         try:
             blocks = self._follower.splitter.feed(data)
         except ValueError as error:
-            return AttemptResult(End.ERROR, str(error))
-        now = self._parts.clock()
+            return AttemptResult(AttemptEnd.ERROR, str(error))
+        now = self._context.clock()
         new = self._progress.pick_new(blocks)
         if blocks:
             self._follower.record_events(now, len(blocks))
@@ -199,27 +199,31 @@
     def _take_end(self) -> AttemptResult:
         head = self._follower.head
         if head.not_run:
-            return AttemptResult(End.NOT_RUN, f"server refused with {head.status}")
+            return AttemptResult(
+                AttemptEnd.NOT_RUN, f"server refused with {head.status}"
+            )
         if not self._follower.is_stream():
             return self._take_error(head)
         self._progress.finish(head, self._follower.splitter.take_rest())
         if self._attempt.plan.last_event_id is None:
             self._follower.record_whole_answer()
-        return AttemptResult(End.DONE, "complete")
+        return AttemptResult(AttemptEnd.DONE, "complete")
 
     def _take_error(self, head: AnswerHead) -> AttemptResult:
         body = b"".join(self._follower.error_body)
         reason = f"server answered with {head.status}"
         may_pass_on = head.has_proof and head.status not in PROMISING_STATUSES
         if not may_pass_on or self._exchange.is_started:
-            return AttemptResult(End.ERROR, reason)
+            return AttemptResult(AttemptEnd.ERROR, reason)
         if head.status < 500:
             self._exchange.respond(head.status, head.headers, body)
-            return AttemptResult(End.DONE, reason)
-        return AttemptResult(End.ERROR, reason, (head, body))
+            return AttemptResult(AttemptEnd.DONE, reason)
+        return AttemptResult(AttemptEnd.ERROR, reason, (head, body))
 
 
 def _describe_failure(message: AttemptFailed) -> AttemptResult:
     if not message.was_sent:
-        return AttemptResult(End.UNREACHABLE, message.reason)
-    return AttemptResult(End.LOST if message.is_reset else End.ERROR, message.reason)
+        return AttemptResult(AttemptEnd.UNREACHABLE, message.reason)
+    return AttemptResult(
+        AttemptEnd.LOST if message.is_reset else AttemptEnd.ERROR, message.reason
+    )
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
@@ -16,13 +16,13 @@
     is_prompt_admitted,
 )
 
-from ebonyhaven_node.forwarding._parts import RelayParts
+from ebonyhaven_node.forwarding._context import RelayContext
 
 AVOID_S = 2.0  # a server that lost a stream is chosen last for this time
 MIN_CONNECTIONS = 2.0  # to each server, however many instances share its bound
 
 
-class StreamServers:
+class StreamServerSelector:
     """Chooses the servers of one stream and remembers those that lost it.
 
     Parameters
@@ -31,7 +31,7 @@
     engine : EngineTraits or None
         None for a service without model engines.
     demand : TokenDemand
-    parts : RelayParts
+    parts : RelayContext
     """
 
     def __init__(
@@ -40,12 +40,12 @@
         service: str,
         engine: EngineTraits | None,
         demand: TokenDemand,
-        parts: RelayParts,
+        parts: RelayContext,
     ):
         self._service = service
         self._engine = engine
         self._need = demand
-        self._parts = parts
+        self._context = parts
         self._avoided: dict[tuple[str, int], float] = {}
 
     def avoid(self, backend: Backend, now: float) -> None:
@@ -77,19 +77,19 @@
         -------
         Backend or None
         """
-        usable = self._list_usable(now) or self._parts.state.backends.list_usable(
+        usable = self._list_usable(now) or self._context.state.backends.list_usable(
             self._service, now
         )
         usable = [each for each in usable if self._has_connections(each)]
-        usable = self._parts.state.backends.avoid_suspect_data_centres(usable, now)
+        usable = self._context.state.backends.avoid_suspect_data_centres(usable, now)
         if self._engine is None:
             return choose_backend(
                 usable,
-                data_centre=self._parts.data_centre,
+                data_centre=self._context.data_centre,
                 now=now,
-                rng=self._parts.rng,
+                rng=self._context.rng,
             )
-        peers = self._parts.peers.sum_by_server(now)
+        peers = self._context.peers.sum_by_server(now)
         admitting = [
             each
             for each in usable
@@ -104,7 +104,7 @@
             demand=self._need,
             memory_tokens=self._engine.memory_tokens,
             peers=peers,
-            rng=self._parts.rng,
+            rng=self._context.rng,
             prompt_id=prompt_id,
         )
 
@@ -115,7 +115,7 @@
         tokens = count_queued_prefill_tokens(backend, peers)
         if not tokens:
             return 0.0
-        return self._parts.prefill.estimate_s(tokens + self._need.prompt_tokens)
+        return self._context.prefill.estimate_s(tokens + self._need.prompt_tokens)
 
     def choose_holder(self, source: Backend, now: float) -> Backend | None:
         """Return the server that is to hold the copy of a run.
@@ -135,14 +135,14 @@
             return None
         if not self._need.prompt_tokens:
             return None
-        directory = self._parts.state.backends
+        directory = self._context.state.backends
         return choose_copy_holder(
             self._list_usable(now),
             source=source,
             demand=self._need,
             memory_tokens=self._engine.memory_tokens,
-            peers=self._parts.peers.sum_by_server(now),
-            rng=self._parts.rng,
+            peers=self._context.peers.sum_by_server(now),
+            rng=self._context.rng,
             is_suspect_data_centre=lambda data_centre: directory.is_suspect_data_centre(
                 data_centre, now
             ),
@@ -150,14 +150,14 @@
 
     def _list_usable(self, now: float) -> list[Backend]:
         avoided = [key for key, until in self._avoided.items() if now < until]
-        directory = self._parts.state.backends
+        directory = self._context.state.backends
         return directory.list_usable(self._service, now, avoided)
 
     def _has_connections(self, backend: Backend) -> bool:
-        configuration = self._parts.state.configuration
+        configuration = self._context.state.configuration
         service = configuration.services.get(self._service) if configuration else None
         if service is None:
             return True
-        share = service.max_connections / max(1, self._parts.budget.instances)
-        open_count = self._parts.pool.count_open(backend.entry.address)
+        share = service.max_connections / max(1, self._context.budget.instances)
+        open_count = self._context.pool.count_open(backend.entry.address)
         return open_count < max(MIN_CONNECTIONS, share)
--- a/packages/node/src/ebonyhaven_node/forwarding/_streams.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_streams.py
@@ -15,9 +15,10 @@
 )
 
 from ebonyhaven_node._failures import give_up, refuse
+from ebonyhaven_node.forwarding._attempt_monitors import AttemptMonitor
 from ebonyhaven_node.forwarding._attempts import Attempt
+from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._earlier_runs import EarlierRun
-from ebonyhaven_node.forwarding._followers import Follower
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
@@ -28,16 +29,15 @@
     ForwardRequest,
 )
 from ebonyhaven_node.forwarding._outcomes import NO_SERVER_RETRY_S
-from ebonyhaven_node.forwarding._parts import RelayParts
 from ebonyhaven_node.forwarding._progress import StreamProgress
+from ebonyhaven_node.forwarding._reservations import EngineReservation
 from ebonyhaven_node.forwarding._run_copies import RunCopy
 from ebonyhaven_node.forwarding._stream_attempts import (
+    AttemptEnd,
     AttemptResult,
-    End,
     StreamAttempt,
 )
-from ebonyhaven_node.forwarding._stream_servers import StreamServers
-from ebonyhaven_node.forwarding._usage import EngineClaim
+from ebonyhaven_node.forwarding._stream_servers import StreamServerSelector
 
 WAIT_STEP_S = 0.1  # how often a waiting stream looks for room without being woken
 TRIES_MAX = 40  # servers that vanish do not count against the route's attempts
@@ -70,7 +70,7 @@
     urgency : int
         Rank of the request among others, 0 is the most urgent.
     exchange : Exchange
-    parts : RelayParts
+    parts : RelayContext
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         workspace: str | None,
         urgency: int,
         exchange: Exchange,
-        parts: RelayParts,
+        parts: RelayContext,
     ):
         self._request = request
         self._route = route
@@ -92,7 +92,7 @@
         self._workspace = workspace
         self._urgency = urgency
         self._exchange = exchange
-        self._parts = parts
+        self._context = parts
         self._inbox = Inbox(parts.reactor)
         size = request.size
         self._need = (
@@ -112,7 +112,7 @@
         self._tries = 0
         self._charged = 0
         self._may_have_run = False
-        self._servers = StreamServers(
+        self._servers = StreamServerSelector(
             service=service, engine=engine, demand=self._need, parts=parts
         )
         self._copy: RunCopy | None = None
@@ -129,14 +129,14 @@
         RequestFailure
             When nothing was delivered and nothing more can be tried.
         """
-        self._parts.budget.record_request(self._service, self._parts.clock())
+        self._context.budget.record_request(self._service, self._context.clock())
         await self._earlier.look()
         while not self._exchange.is_done:
             target = await self._find_server()
             if target is None or self._exchange.is_done:
                 return
             result = await self._try_server(target)
-            if result.end is End.DONE or self._exchange.is_done:
+            if result.end is AttemptEnd.DONE or self._exchange.is_done:
                 return
             self._note_result(target, result)
 
@@ -144,10 +144,10 @@
 
     async def _find_server(self) -> _Target | None:
         """Wait for a server with room and return it; None when given up."""
-        self._parts.waiters.join(self._inbox)
+        self._context.capacity_notifier.subscribe(self._inbox)
         try:
             while not self._exchange.is_done:
-                now = self._parts.clock()
+                now = self._context.clock()
                 self._check_limits(now)
                 choice = self._choose(now)
                 if choice is not None and self._take_repeat(now):
@@ -156,15 +156,15 @@
                 while message is not None and not isinstance(message, BackendsChanged):
                     message = await self._inbox.get(0.0)
         finally:
-            self._parts.waiters.leave(self._inbox)
+            self._context.capacity_notifier.unsubscribe(self._inbox)
         return None
 
     def _take_repeat(self, now: float) -> bool:
         if not self._attempts:
             return True
-        if self._parts.budget.acquire_retry(self._service, now):
+        if self._context.budget.acquire_retry(self._service, now):
             return True
-        self._parts.metrics.budget_refusals.inc()
+        self._context.metrics.budget_refusals.inc()
         return False
 
     def _check_limits(self, now: float) -> None:
@@ -184,7 +184,7 @@
 
     def _can_end_in_time(self, now: float) -> bool:
         position = self._progress.position or ""
-        return self._parts.read_answer_times(self._route.name).can_finish_in_time(
+        return self._context.get_stream_durations(self._route.name).can_finish_in_time(
             remaining_s=self._deadline - now,
             events_delivered=int(position) if position.isdigit() else 0,
             has_copy=self._earlier.has_copy,
@@ -193,7 +193,7 @@
     def _stops_servers(self) -> bool:
         if not self._may_have_run:
             return False
-        verdict = self._parts.crashes.judge(self._request.content)
+        verdict = self._context.crashes.judge(self._request.content)
         return verdict is CrashVerdict.STOPPED
 
     def _end_without(self, now: float, reason: str) -> None:
@@ -237,7 +237,7 @@
     # -- one attempt -------------------------------------------------------
 
     async def _try_server(self, target: _Target) -> AttemptResult:
-        now = self._parts.clock()
+        now = self._context.clock()
         backend = target.backend
         self._copy = None  # a copy serves once
         holder = None
@@ -257,10 +257,12 @@
                 last_event_id=self._progress.position,
             ),
             inbox=self._inbox,
-            parts=self._parts,
+            parts=self._context,
         )
         prefill = 0 if target.copy else self._need.prompt_tokens
-        claim = EngineClaim(backend, holder, self._need, prefill, self._parts.on_use)
+        claim = EngineReservation(
+            backend, holder, self._need, prefill, self._context.on_usage_change
+        )
         copy = RunCopy(
             request_id=self._request.request_id,
             run_key=self._request.run_key if self._route.may_retry else None,
@@ -270,19 +272,19 @@
             claim=claim,
             servers=self._servers,
             inbox=self._inbox,
-            parts=self._parts,
+            parts=self._context,
         )
         self._log_sent(target, holder, now)
         return await self._run_attempt(attempt, claim, copy, target)
 
     async def _run_attempt(
-        self, attempt: Attempt, claim: EngineClaim, copy: RunCopy, target: _Target
+        self, attempt: Attempt, claim: EngineReservation, copy: RunCopy, target: _Target
     ) -> AttemptResult:
-        self._parts.suspicions.join(self._inbox)
+        self._context.suspicion_notifier.subscribe(self._inbox)
         if self._progress.delivered:
             self._progress.resume_source = "copy" if target.copy else "prompt"
         attempt.start()
-        follower = Follower(attempt, self._route, self._parts, claim)
+        follower = AttemptMonitor(attempt, self._route, self._context, claim)
         following = StreamAttempt(
             attempt=attempt,
             follower=follower,
@@ -290,15 +292,15 @@
             progress=self._progress,
             exchange=self._exchange,
             inbox=self._inbox,
-            parts=self._parts,
+            parts=self._context,
             deadline=self._deadline,
         )
         try:
             result = await following.follow()
             if follower.events:  # engines copy nothing before the first event
                 self._copy = copy
-            elif result.end is End.LOST:
-                self._parts.count_death(self._request, attempt.backend)
+            elif result.end is AttemptEnd.LOST:
+                self._context.report_death(self._request, attempt.backend)
             return result
         finally:
             copy.close(
@@ -306,13 +308,15 @@
                 is_complete=self._progress.is_complete,
             )
             claim.release()
-            self._parts.waiters.wake()
-            self._parts.suspicions.leave(self._inbox)
+            self._context.capacity_notifier.notify()
+            self._context.suspicion_notifier.unsubscribe(self._inbox)
             attempt.cancel()
 
     def _log_sent(self, target: _Target, holder: Backend | None, now: float) -> None:
         backend = target.backend
-        peers = self._parts.peers.sum_by_server(now).get(backend.server_id, EngineUse())
+        peers = self._context.peers.sum_by_server(now).get(
+            backend.server_id, EngineUse()
+        )
         _log.info(
             "stream_sent",
             request=self._request.request_id,
@@ -340,27 +344,27 @@
     # -- after an attempt --------------------------------------------------
 
     def _note_result(self, target: _Target, result: AttemptResult) -> None:
-        now = self._parts.clock()
+        now = self._context.clock()
         backend = target.backend
         end = result.end
-        self._parts.metrics.attempts.labels(self._route.kind.value, end.value).inc()
+        self._context.metrics.attempts.labels(self._route.kind.value, end.value).inc()
         self._last_reason = result.reason
         self._last_peer = backend.server_id
         self._failed = result.failure or self._failed
         self._log_ended(target, result, now)
-        if target.copy is not None and end is End.NOT_RUN:
-            self._parts.metrics.resumes.labels("copy_gone").inc()
+        if target.copy is not None and end is AttemptEnd.NOT_RUN:
+            self._context.metrics.resumes.labels("copy_gone").inc()
             return
         self._servers.avoid(backend, now)
-        if end is End.UNREACHABLE:
+        if end is AttemptEnd.UNREACHABLE:
             self._attempts -= 1
             if self._attempts:
-                self._parts.budget.refund_retry(self._service, now)
-        if end in (End.NOT_RUN, End.UNREACHABLE):
+                self._context.budget.refund_retry(self._service, now)
+        if end in (AttemptEnd.NOT_RUN, AttemptEnd.UNREACHABLE):
             return
         self._may_have_run = True
         backend.record_result(succeeded=False, latency_s=None)
-        if end in (End.SILENT, End.ERROR):
+        if end in (AttemptEnd.SILENT, AttemptEnd.ERROR):
             self._charged += 1
 
     def _log_ended(self, target: _Target, result: AttemptResult, now: float) -> None:
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -41,7 +41,7 @@
 STEP_S = 0.005
 
 
-class NoSource(StateSource):
+class StaticStateSource(StateSource):
     """A source that never tells anything; tests put the state in place."""
 
     behind = False
@@ -94,7 +94,7 @@
         self.dropped.append((source, handle))
 
 
-def headers_of(request: h11.Request) -> dict[str, str]:
+def decode_headers(request: h11.Request) -> dict[str, str]:
     return {name.decode(): value.decode() for name, value in request.headers}
 
 
@@ -143,15 +143,15 @@
 class Caller:
     """A caller's connection."""
 
-    def __init__(self, world, protocol):
-        self.world = world
+    def __init__(self, harness, protocol):
+        self.harness = harness
         self.protocol = protocol
         self.transport = MemoryTransport()
         protocol.makeConnection(self.transport)
 
     def send(self, data: bytes) -> None:
         self.protocol.dataReceived(data)
-        self.world.advance(0.0)
+        self.harness.advance(0.0)
 
     def request(self, path, request_id="r1", method="POST", body=b"{}", **headers):
         fields = {
@@ -168,7 +168,7 @@
 
     def leave(self) -> None:
         self.protocol.connectionLost(Failure(ConnectionDone()))
-        self.world.advance(0.0)
+        self.harness.advance(0.0)
 
     @property
     def received(self) -> bytes:
@@ -184,7 +184,7 @@
         while True:
             each = codec.next_event()
             if isinstance(each, h11.Response):
-                status, headers = each.status_code, headers_of(each)
+                status, headers = each.status_code, decode_headers(each)
             elif isinstance(each, h11.Data):
                 body += bytes(each.data)
             elif isinstance(each, h11.EndOfMessage):
@@ -258,12 +258,12 @@
     return BackendEntry(**values)
 
 
-class World:
+class ForwardingHarness:
     """An instance with its callers and backend servers."""
 
     def __init__(self, configuration=None, plain=3, engines=3):
         self.reactor = MemoryReactorClock()
-        self.source = NoSource()
+        self.source = StaticStateSource()
         self.inspector = FixedInspector()
         self.copier = FakeCopier()
         self.refused: set[str] = set()
--- a/tests/forwarding/streaming.py
+++ b/tests/forwarding/streaming.py
@@ -2,27 +2,33 @@
 
 from __future__ import annotations
 
-from tests.forwarding.harness import World, chunk, event, headers_of, stream_head
+from tests.forwarding.harness import (
+    ForwardingHarness,
+    chunk,
+    decode_headers,
+    event,
+    stream_head,
+)
 
 SIZE = {"X_Token_Count": "8000,700", "X_Prompt_Prefix": "aa:200,bb:7800"}
 
 
 def start(path="/stream/x", engines=3, **options):
-    world = World(engines=engines)
-    caller = world.open_caller()
+    harness = ForwardingHarness(engines=engines)
+    caller = harness.open_caller()
     caller.request(path, **{**SIZE, **options})
-    return world, caller
+    return harness, caller
 
 
 def read_body(caller) -> bytes:
     return caller.read_answer()[2]
 
 
-def open_stream(world, *numbers):
+def open_stream(harness, *numbers):
     """Let the server that has the request send its head and some events."""
-    server, head, _ = world.take_request()
+    server, head, _ = harness.take_request()
     server.receive(stream_head("r1"))
     for number in numbers:
         server.receive(chunk(event(number)))
-    world.advance(0.0)
-    return server, headers_of(head)
+    harness.advance(0.0)
+    return server, decode_headers(head)
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -3,39 +3,39 @@
 from tests.forwarding.harness import (
     HOST,
     KEY,
-    World,
-    headers_of,
+    ForwardingHarness,
+    decode_headers,
     make_configuration,
     make_route,
 )
 
 
-def ask(world, path="/once/x", **options):
-    caller = world.open_caller()
+def ask(harness, path="/once/x", **options):
+    caller = harness.open_caller()
     caller.request(path, **options)
     return caller
 
 
 def test_instance_without_a_configuration_refuses_as_not_run():
-    world = World(configuration=False)
-    status, headers, _, _ = ask(world).read_answer()
+    harness = ForwardingHarness(configuration=False)
+    status, headers, _, _ = ask(harness).read_answer()
     assert status == 503
     assert float(headers["retry-after"]) > 0
 
 
 def test_unknown_route_and_unknown_key_are_told_apart():
-    world = World()
-    assert ask(world, "/nothing/x").read_answer()[0] == 404
-    assert ask(world, Authorization="Bearer wrong").read_answer()[0] == 401
-    assert ask(world, Authorization=None).read_answer()[0] == 401
-    assert world.count_waiting() == 0
+    harness = ForwardingHarness()
+    assert ask(harness, "/nothing/x").read_answer()[0] == 404
+    assert ask(harness, Authorization="Bearer wrong").read_answer()[0] == 401
+    assert ask(harness, Authorization=None).read_answer()[0] == 401
+    assert harness.count_waiting() == 0
 
 
 def test_open_route_needs_no_key_and_tells_no_forged_workspace():
-    world = World()
-    ask(world, "/open/x", Authorization=None, X_Tenant_Name="forged")
-    _, head, _ = world.take_request()
-    assert "x-tenant-name" not in headers_of(head)
+    harness = ForwardingHarness()
+    ask(harness, "/open/x", Authorization=None, X_Tenant_Name="forged")
+    _, head, _ = harness.take_request()
+    assert "x-tenant-name" not in decode_headers(head)
 
 
 def test_longest_prefix_wins():
@@ -51,15 +51,15 @@
 
 
 def test_older_configuration_never_replaces_a_newer_one():
-    world = World()
-    world.state.take_configuration(make_configuration(version=5))
-    world.state.take_configuration(make_configuration(version=4))
-    assert world.state.configuration.version == 5
+    harness = ForwardingHarness()
+    harness.state.take_configuration(make_configuration(version=5))
+    harness.state.take_configuration(make_configuration(version=4))
+    assert harness.state.configuration.version == 5
 
 
 def test_request_with_two_framings_is_rejected():
-    world = World()
-    caller = world.open_caller()
+    harness = ForwardingHarness()
+    caller = harness.open_caller()
     caller.send(
         f"POST /once/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: r1\r\n"
         f"Authorization: Bearer {KEY}\r\nContent-Length: 4\r\n"
@@ -67,18 +67,18 @@
         "0\r\n\r\nGET /open/ HTTP/1.1\r\n\r\n".encode()
     )
     assert caller.read_answer()[0] == 400
-    assert world.count_waiting() == 0
-    world.advance(1.0)
+    assert harness.count_waiting() == 0
+    harness.advance(1.0)
     assert caller.transport.is_closed
 
 
 def test_limits_on_header_and_body():
-    world = World()
-    limits = world.state.limits
-    caller = world.open_caller()
+    harness = ForwardingHarness()
+    limits = harness.state.limits
+    caller = harness.open_caller()
     caller.send(b"GET / HTTP/1.1\r\nX: " + b"a" * (limits.header_bytes + 100))
     assert caller.read_answer()[0] == 431
-    caller = world.open_caller()
+    caller = harness.open_caller()
     length = limits.body_bytes + 1
     head = f"POST /once/x HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: {length}\r\n\r\n"
     caller.send(head.encode() + b"a" * length)
@@ -86,48 +86,48 @@
 
 
 def test_request_without_an_id_is_malformed():
-    world = World()
-    assert ask(world, X_Attempt_Id=None).read_answer()[0] == 400
-    assert world.count_waiting() == 0
+    harness = ForwardingHarness()
+    assert ask(harness, X_Attempt_Id=None).read_answer()[0] == 400
+    assert harness.count_waiting() == 0
 
 
 def test_idle_connection_is_kept_for_the_whole_idle_time():
-    world = World()
-    caller = world.open_caller()
-    world.advance(0.9 * world.state.limits.idle_timeout_s)
+    harness = ForwardingHarness()
+    caller = harness.open_caller()
+    harness.advance(0.9 * harness.state.limits.idle_timeout_s)
     assert not caller.transport.is_closed
-    world.advance(0.2 * world.state.limits.idle_timeout_s)
+    harness.advance(0.2 * harness.state.limits.idle_timeout_s)
     assert caller.transport.is_closed
 
 
 def test_leaving_instance_closes_connections_after_their_answers():
-    world = World()
-    world.gateway._leaving_since = world.reactor.seconds()
-    caller = ask(world, "/nothing/x")
+    harness = ForwardingHarness()
+    harness.gateway._leaving_since = harness.reactor.seconds()
+    caller = ask(harness, "/nothing/x")
     _, headers, _, _ = caller.read_answer()
     assert headers["connection"] == "close"
     assert caller.transport.is_closed
 
 
 def test_leaving_instance_takes_streams_only_while_they_can_end():
-    world = World()
-    world.gateway._leaving_since = world.reactor.seconds()
-    ask(world, "/stream/x")
-    assert world.count_waiting() == 1
-    world.advance(2.5)  # a quarter of the grace of 8 s is over
-    status, headers, _, _ = ask(world, "/stream/x", request_id="r2").read_answer()
+    harness = ForwardingHarness()
+    harness.gateway._leaving_since = harness.reactor.seconds()
+    ask(harness, "/stream/x")
+    assert harness.count_waiting() == 1
+    harness.advance(2.5)  # a quarter of the grace of 8 s is over
+    status, headers, _, _ = ask(harness, "/stream/x", request_id="r2").read_answer()
     assert status == 503
     assert float(headers["retry-after"]) == 0
 
 
 def test_leaving_instance_takes_short_requests_only_while_they_can_end():
     # A request that came 7.65 s after the signal was cut when the process ended.
-    world = World()
-    world.gateway._leaving_since = world.reactor.seconds()
-    world.advance(6.5)
-    ask(world)  # its route takes 0.8 s at most; the instance ends 7.4 s after
-    assert world.count_waiting() == 1
-    world.advance(0.2)
-    status, headers, _, _ = ask(world, request_id="r2").read_answer()
+    harness = ForwardingHarness()
+    harness.gateway._leaving_since = harness.reactor.seconds()
+    harness.advance(6.5)
+    ask(harness)  # its route takes 0.8 s at most; the instance ends 7.4 s after
+    assert harness.count_waiting() == 1
+    harness.advance(0.2)
+    status, headers, _, _ = ask(harness, request_id="r2").read_answer()
     assert status == 503
     assert float(headers["retry-after"]) == 0
--- a/tests/forwarding/test_calls.py
+++ b/tests/forwarding/test_calls.py
@@ -2,22 +2,22 @@
 
 from tests.forwarding.harness import (
     STAMP,
-    World,
+    ForwardingHarness,
     answer,
-    headers_of,
+    decode_headers,
     refusal,
 )
 
 
 def start(path="/once/x", **options):
-    world = World()
-    caller = world.open_caller()
+    harness = ForwardingHarness()
+    caller = harness.open_caller()
     caller.request(path, **options)
-    return world, caller
+    return harness, caller
 
 
 def test_request_and_answer_pass_unchanged():
-    world, caller = start(
+    harness, caller = start(
         "/once/x?q=1",
         body=b"payload",
         X_Extra="kept",
@@ -27,8 +27,8 @@
         Connection="X-Extra-Hop, X-Attempt-Id",
         X_Extra_Hop="dropped",
     )
-    server, head, body = world.take_request()
-    sent = headers_of(head)
+    server, head, body = harness.take_request()
+    sent = decode_headers(head)
     assert (head.method, head.target, body) == (b"POST", b"/once/x?q=1", b"payload")
     assert sent["x-attempt-id"] == "r1"
     assert sent["x-extra"] == "kept"
@@ -46,103 +46,104 @@
 
 def test_whole_answer_in_one_segment_ends_the_request():
     # Its end was once judged before its messages were handled: the request ran again.
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     server.receive(answer("r1"))
-    world.advance(2.0)
-    assert world.count_waiting() == 0
+    harness.advance(2.0)
+    assert harness.count_waiting() == 0
     assert caller.read_answer()[0] == 200
 
 
 def test_request_that_may_run_once_is_never_sent_again():
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     server.reset()
-    world.advance(2.0)
-    assert world.count_waiting() == 0
+    harness.advance(2.0)
+    assert harness.count_waiting() == 0
     assert caller.read_answer()[0] == 502
 
 
 def test_request_with_proof_that_it_did_not_run_is_sent_to_another_server():
-    world, caller = start()
-    first, head, _ = world.take_request()
+    harness, caller = start()
+    first, head, _ = harness.take_request()
     first.receive(refusal("r1"))
-    world.advance(0.1)
-    second, again, _ = world.take_request()
+    harness.advance(0.1)
+    second, again, _ = harness.take_request()
     assert (
-        headers_of(head)["x-expect-instance"] != headers_of(again)["x-expect-instance"]
+        decode_headers(head)["x-expect-instance"]
+        != decode_headers(again)["x-expect-instance"]
     )
     second.receive(answer("r1"))
     assert caller.read_answer()[0] == 200
 
 
 def test_refusals_by_all_servers_end_in_a_refusal_with_a_time_to_come_back():
-    world, caller = start()
+    harness, caller = start()
     for _ in range(8):
-        if not world.count_waiting():
+        if not harness.count_waiting():
             break
-        server, _, _ = world.take_request()
+        server, _, _ = harness.take_request()
         server.receive(refusal("r1"))
-        world.advance(0.05)
+        harness.advance(0.05)
     status, headers, _, _ = caller.read_answer()
     assert status == 503
     assert float(headers["retry-after"]) > 0
 
 
 def test_failure_of_an_idempotent_request_is_tried_on_another_server():
-    world, caller = start("/repeat/x", method="GET", body=b"")
-    server, _, _ = world.take_request()
+    harness, caller = start("/repeat/x", method="GET", body=b"")
+    server, _, _ = harness.take_request()
     server.receive(answer("r1", b"bad", 500))
-    world.advance(0.05)
-    other, _, _ = world.take_request()
+    harness.advance(0.05)
+    other, _, _ = harness.take_request()
     assert other.address != server.address
     other.receive(answer("r1", b"good"))
     assert caller.read_answer()[2] == b"good"
 
 
 def test_second_failure_is_passed_on_unchanged():
-    world, caller = start("/repeat/x", method="GET", body=b"")
+    harness, caller = start("/repeat/x", method="GET", body=b"")
     for _ in range(2):
-        server, _, _ = world.take_request()
+        server, _, _ = harness.take_request()
         server.receive(answer("r1", b"bad", 500))
-        world.advance(0.05)
+        harness.advance(0.05)
     status, headers, body, _ = caller.read_answer()
     assert (status, body) == (500, b"bad")
     assert headers["x-server-stamp"] == STAMP
-    assert world.count_waiting() == 0
+    assert harness.count_waiting() == 0
 
 
 def test_silent_server_gets_a_second_try_beside_it_within_the_target():
-    world, caller = start("/repeat/x", method="GET", body=b"")
-    first, _, _ = world.take_request()
-    world.advance(0.11)  # over half of the target latency of 0.2 s
-    second, _, _ = world.take_request()
+    harness, caller = start("/repeat/x", method="GET", body=b"")
+    first, _, _ = harness.take_request()
+    harness.advance(0.11)  # over half of the target latency of 0.2 s
+    second, _, _ = harness.take_request()
     second.receive(answer("r1", b"second"))
     assert caller.read_answer()[2] == b"second"
-    world.advance(0.0)
+    harness.advance(0.0)
     assert first.is_closed
 
 
 def test_refused_connections_cost_no_repeat():
-    world = World()
-    budget = world.gateway._parts.budget
-    world.refused = {world.find_address("p-0"), world.find_address("p-1")}
+    harness = ForwardingHarness()
+    budget = harness.gateway._context.budget
+    harness.refused = {harness.find_address("p-0"), harness.find_address("p-1")}
     for number in range(4):
-        caller = world.open_caller()
+        caller = harness.open_caller()
         caller.request("/once/x", request_id=f"r{number}")
-        world.advance(0.01)
-        server, _, _ = world.take_request()
-        assert server.address == world.find_address("p-2")
+        harness.advance(0.01)
+        server, _, _ = harness.take_request()
+        assert server.address == harness.find_address("p-2")
         server.receive(answer(f"r{number}"))
         assert caller.read_answer()[0] == 200
-    now = world.reactor.seconds()
+    now = harness.reactor.seconds()
     assert sum(each.retries for each in budget._counts["plain"]) == 0
     assert budget.acquire_retry("plain", now)
 
 
 def test_answer_to_an_earlier_request_is_skipped():
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     server.receive(answer("old", b"not yours"))
     assert caller.received == b""
     server.receive(answer("r1", b"yours"))
@@ -150,16 +151,16 @@
 
 
 def test_connection_with_bytes_after_its_answer_is_not_used_again():
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     server.receive(answer("r1") + b"HTTP/1.1 200 OK\r\n")
     assert caller.read_answer()[0] == 200
     assert server.is_closed
 
 
 def test_bytes_on_an_idle_connection_close_it():
-    world, _ = start()
-    server, _, _ = world.take_request()
+    harness, _ = start()
+    server, _, _ = harness.take_request()
     server.receive(answer("r1"))
     assert not server.is_closed
     server.receive(answer("r1", b"again"))
@@ -167,105 +168,105 @@
 
 
 def test_answer_that_is_cut_off_is_not_delivered():
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     whole = answer("r1", b"x" * 100)
     server.receive(whole[:-10])
     server.close()
-    world.advance(0.01)
+    harness.advance(0.01)
     assert caller.read_answer()[0] == 502
 
 
 def test_answer_without_a_length_is_whole_only_after_an_orderly_close():
     head = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: r1\r\nX-Server-Stamp: s\r\n\r\n"
     for is_orderly, status in ((True, 200), (False, 502)):
-        world, caller = start()
-        server, _, _ = world.take_request()
+        harness, caller = start()
+        server, _, _ = harness.take_request()
         server.receive(head + b"the body")
         if is_orderly:
             server.close()
         else:
             server.reset()
-        world.advance(0.01)
+        harness.advance(0.01)
         assert caller.read_answer()[0] == status
 
 
 def test_bytes_that_are_no_answer_are_not_passed_on():
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     server.receive(b"\x00\x01 nonsense\r\n\r\n")
-    world.advance(0.01)
+    harness.advance(0.01)
     assert caller.read_answer()[0] == 502
 
 
 def test_answer_without_proof_of_origin_is_no_success():
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     server.receive(answer("r1", X_Server_Stamp=None))
-    world.advance(0.01)
+    harness.advance(0.01)
     assert caller.read_answer()[0] == 502
 
 
 def test_status_that_reads_as_a_promise_is_not_passed_on_after_a_run():
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     server.receive(answer("r1", b"busy", 503))
-    world.advance(0.01)
+    harness.advance(0.01)
     assert caller.read_answer()[0] == 502
 
 
 def test_caller_that_leaves_stops_the_work():
-    world, caller = start("/repeat/x")
-    server, _, _ = world.take_request()
-    caller.leave()
+    harness, caller = start("/repeat/x")
+    server, _, _ = harness.take_request()
+    caller.disconnect()
     assert server.is_closed
-    world.advance(1.0)
-    assert world.count_waiting() == 0
+    harness.advance(1.0)
+    assert harness.count_waiting() == 0
 
 
 def test_time_of_the_route_ends_a_request_at_once():
-    world, caller = start()
-    world.take_request()
-    world.advance(0.79)
+    harness, caller = start()
+    harness.take_request()
+    harness.advance(0.79)
     assert caller.received == b""
-    world.advance(0.03)
+    harness.advance(0.03)
     assert caller.read_answer()[0] == 504
 
 
 def test_request_that_reached_no_server_is_refused_early():
-    world = World()
+    harness = ForwardingHarness()
     for number in range(3):
-        world.refused.add(world.find_address(f"p-{number}"))
-    caller = world.open_caller()
+        harness.refused.add(harness.find_address(f"p-{number}"))
+    caller = harness.open_caller()
     caller.request("/once/x")
-    world.advance(0.3)  # well before the 0.8 s of the route
+    harness.advance(0.3)  # well before the 0.8 s of the route
     status, headers, _, _ = caller.read_answer()
     assert status == 503
     assert "retry-after" in headers
 
 
 def test_other_process_at_an_address_gets_no_further_requests():
-    world, _ = start()
-    server, head, _ = world.take_request()
-    replaced = headers_of(head)["x-expect-instance"]
+    harness, _ = start()
+    server, head, _ = harness.take_request()
+    replaced = decode_headers(head)["x-expect-instance"]
     server.receive(answer("r1", b"", 421, X_Server_Stamp=None))
-    world.advance(0.05)
+    harness.advance(0.05)
     for number in range(6):
-        caller = world.open_caller()
+        caller = harness.open_caller()
         caller.request("/once/x", request_id=f"n{number}")
-    for each in world.connections:
+    for each in harness.connections:
         if each.has_request():
             request, _ = each.read_request()
-            assert headers_of(request)["x-expect-instance"] != replaced
+            assert decode_headers(request)["x-expect-instance"] != replaced
 
 
 def test_only_server_serves_on_while_it_is_under_suspicion():
     # With one server left, requests were once refused for the whole suspicion.
-    world = World(plain=1)
-    backend = world.state.backends.find("p-0")
-    world.gateway._parts.count_unreachable(backend)
+    harness = ForwardingHarness(plain=1)
+    backend = harness.state.backends.find("p-0")
+    harness.gateway._context.report_unreachable(backend)
     for number in range(3):
-        caller = world.open_caller()
+        caller = harness.open_caller()
         caller.request("/once/x", request_id=f"r{number}")
-        world.advance(0.01)
-    assert world.count_waiting() == 3
+        harness.advance(0.01)
+    assert harness.count_waiting() == 3
--- a/tests/forwarding/test_copy_exchange.py
+++ b/tests/forwarding/test_shared_copy_index.py
@@ -5,16 +5,19 @@
 from ebonyhaven_decisions.forwarding._copy_index import INDEX_REPLICAS
 from ebonyhaven_node import Frame, FrameKind
 from ebonyhaven_node._frames import encode_frame
-from ebonyhaven_node.forwarding._copy_exchange import ANSWER_TIMEOUT_S, CopyExchange
+from ebonyhaven_node.forwarding._shared_copy_index import (
+    ANSWER_TIMEOUT_S,
+    SharedCopyIndex,
+)
 from twisted.internet.defer import ensureDeferred
 from twisted.internet.task import Clock
 
 from tests.forwarding.harness import (
     STREAM_END,
-    World,
+    ForwardingHarness,
     chunk,
+    decode_headers,
     event,
-    headers_of,
     stream_head,
 )
 from tests.forwarding.test_sharing import FakeChannels, FakeMembership, make_record
@@ -53,7 +56,7 @@
 def build(*names):
     """Return connected exchanges by name, and their clock."""
     clock, network = Clock(), Network()
-    exchanges = {name: CopyExchange(clock, clock.seconds) for name in names}
+    exchanges = {name: SharedCopyIndex(clock, clock.seconds) for name in names}
     for name, exchange in exchanges.items():
         network.join(exchange, name, [each for each in names if each != name])
     return exchanges, network, clock
@@ -83,7 +86,7 @@
 
 def test_a_complete_run_is_forgotten_without_a_message():
     clock = Clock()
-    exchange, network = CopyExchange(clock, clock.seconds), Network()
+    exchange, network = SharedCopyIndex(clock, clock.seconds), Network()
     membership = network.join(exchange, "n1", OTHERS)
     exchange.tell("abc", PLACE)
     count = len(membership.sent)
@@ -112,7 +115,7 @@
 
 def test_instances_that_are_known_to_be_dead_are_neither_told_nor_asked():
     clock = Clock()
-    exchange, network = CopyExchange(clock, clock.seconds), Network()
+    exchange, network = SharedCopyIndex(clock, clock.seconds), Network()
     membership = network.join(exchange, "n1", OTHERS)
     keepers = [
         name for name in choose_index_instances("abc", ("n1", *OTHERS)) if name != "n1"
@@ -129,7 +132,7 @@
 
 def test_an_instance_alone_knows_its_own_copies():
     clock = Clock()
-    exchange = CopyExchange(clock, clock.seconds)
+    exchange = SharedCopyIndex(clock, clock.seconds)
     exchange.tell("abc", PLACE)
     assert ask(exchange, "abc") == [PLACE]
     assert ask(exchange, "other") == [None]
@@ -153,16 +156,18 @@
     return {"X_Token_Count": "8000,700", "X_Prompt_Prefix": prompt}
 
 
-def open_streams(world, count) -> dict[str, str]:
+def open_streams(harness, count) -> dict[str, str]:
     """Give callers a stream with two events each; return the copies' places."""
     places = {}
     for number in range(count):
         request_id = f"first-{number}"
-        world.open_caller().request(f"/stream/{number}", request_id, **size_of(number))
-        server, head, _ = world.take_request()
+        harness.open_caller().request(
+            f"/stream/{number}", request_id, **size_of(number)
+        )
+        server, head, _ = harness.take_request()
         server.receive(stream_head(request_id) + chunk(event(1)) + chunk(event(2)))
-        world.advance(0.0)
-        places[str(number)] = f"{headers_of(head)['x-kv-backup']}/{request_id}"
+        harness.advance(0.0)
+        places[str(number)] = f"{decode_headers(head)['x-kv-backup']}/{request_id}"
     return places
 
 
@@ -170,9 +175,13 @@
     # Load: an instance is lost, and all callers of its streams come back elsewhere
     # within a tenth of a second. Prompts that are read again together made them,
     # and the new streams beside them, late by seconds.
-    lost, left, network = World(engines=9), World(engines=9), Network()
-    network.join(lost.gateway._copies, "n1", ["n2"])
-    network.join(left.gateway._copies, "n2", ["n1"])
+    lost, left, network = (
+        ForwardingHarness(engines=9),
+        ForwardingHarness(engines=9),
+        Network(),
+    )
+    network.join(lost.gateway._copy_index, "n1", ["n2"])
+    network.join(left.gateway._copy_index, "n2", ["n1"])
     places = open_streams(lost, STREAMS)
     del network.channels["n1"]
     callers = []
@@ -186,7 +195,7 @@
     assert len(waiting) == STREAMS
     for server in waiting:
         head, _ = server.read_request()
-        sent = headers_of(head)
+        sent = decode_headers(head)
         number = head.target.decode().rpartition("/")[2]
         assert sent["kv-from"] == places[number]
         assert sent["kv-from"].startswith(server.address)
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_sharing.py
@@ -8,7 +8,7 @@
 from ebonyhaven_node.forwarding._sharing import StateSharing, UseSharing
 from twisted.internet.task import Clock
 
-from tests.forwarding.harness import World
+from tests.forwarding.harness import ForwardingHarness
 
 
 class FakeChannels:
@@ -51,13 +51,13 @@
 
 
 def build_use_sharing(*names):
-    world = World()
+    harness = ForwardingHarness()
     membership, channels, clock = FakeMembership(*names), FakeChannels(), Clock()
     lost = []
     peers = PeerEngineUse(ttl_s=3.0)
     budget = ServiceRetryBudget(ratio=0.8, window_s=10.0, slack=150.0)
     sharing = UseSharing(
-        state=world.state,
+        state=harness.state,
         peers=peers,
         budget=budget,
         membership=membership,
@@ -67,15 +67,15 @@
         on_news=lambda: None,
         on_loss=lost.append,
     )
-    return world, sharing, membership, channels, clock, lost, peers, budget
+    return harness, sharing, membership, channels, clock, lost, peers, budget
 
 
 def test_use_and_losses_are_told_to_all_instances_together():
-    world, sharing, membership, _, clock, _, _, budget = build_use_sharing("n2", "n3")
-    engine = world.state.backends.find("e-0")
+    harness, sharing, membership, _, clock, _, _, budget = build_use_sharing("n2", "n3")
+    engine = harness.state.backends.find("e-0")
     engine.run_tokens, engine.prefill_tokens = 8700, 8000
     sharing.note_change()
-    sharing.note_loss(world.state.backends.find("e-1"))
+    sharing.note_loss(harness.state.backends.find("e-1"))
     clock.advance(0.02)
     payload = [{"e-0": [8700, 0, 8000]}, ["e-1"]]
     assert sorted(membership.sent) == [
@@ -86,8 +86,8 @@
 
 
 def test_use_is_repeated_while_there_is_any_and_its_end_is_told_once():
-    world, sharing, membership, _, clock, _, _, _ = build_use_sharing("n2")
-    engine = world.state.backends.find("e-0")
+    harness, sharing, membership, _, clock, _, _, _ = build_use_sharing("n2")
+    engine = harness.state.backends.find("e-0")
     engine.run_tokens = 5
     sharing.note_change()
     clock.advance(0.02)
@@ -122,23 +122,23 @@
 
 
 def build_state_sharing():
-    world = World()
+    harness = ForwardingHarness()
     membership, channels = FakeMembership("n2"), FakeChannels()
     StateSharing(
-        source=world.source,
+        source=harness.source,
         membership=membership,
         channels=channels,
-        clock=world.reactor.seconds,
+        clock=harness.reactor.seconds,
     )
-    return world, membership, channels
+    return harness, membership, channels
 
 
 def test_newer_state_is_asked_for_only_while_the_store_does_not_answer():
-    world, membership, _ = build_state_sharing()
+    harness, membership, _ = build_state_sharing()
     digest = membership.digests[0]
     digest.merge("n2", [2, 9])
     assert membership.sent == []
-    world.source.behind = True
+    harness.source.behind = True
     digest.merge("n2", [1, 1])
     assert membership.sent == []
     digest.merge("n2", [1, 9])
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -4,11 +4,11 @@
 
 from tests.forwarding.harness import (
     STREAM_END,
-    World,
+    ForwardingHarness,
     answer,
     chunk,
+    decode_headers,
     event,
-    headers_of,
     refusal,
     stream_head,
 )
@@ -16,8 +16,8 @@
 
 
 def test_events_pass_as_they_arrive_and_the_end_is_the_servers_end():
-    world, caller = start()
-    server, sent = open_stream(world, 1)
+    harness, caller = start()
+    server, sent = open_stream(harness, 1)
     assert sent["x-token-count"] == "8000,700"
     assert sent["x-prompt-prefix"] == "aa:200,bb:7800"
     assert read_body(caller) == event(1)
@@ -27,22 +27,22 @@
 
 
 def test_each_run_has_a_copy_in_another_data_centre():
-    world, _ = start()
-    _, sent = open_stream(world)
-    by_address = {each.entry.address: each.entry for each in world.state.backends}
-    source = world.state.backends.find(sent["x-expect-instance"]).entry
+    harness, _ = start()
+    _, sent = open_stream(harness)
+    by_address = {each.entry.address: each.entry for each in harness.state.backends}
+    source = harness.state.backends.find(sent["x-expect-instance"]).entry
     assert by_address[sent["x-kv-backup"]].data_centre != source.data_centre
 
 
 def test_lost_stream_goes_on_from_its_copy_without_a_gap_or_a_repeat():
-    world, caller = start()
-    server, sent = open_stream(world, 1, 2)
+    harness, caller = start()
+    server, sent = open_stream(harness, 1, 2)
     half = event(3)[:7]
     server.receive(chunk(half))
     server.reset()
-    world.advance(0.01)
-    second, head, _ = world.take_request()
-    again = headers_of(head)
+    harness.advance(0.01)
+    second, head, _ = harness.take_request()
+    again = decode_headers(head)
     assert second.address == sent["x-kv-backup"]
     assert again["kv-from"] == f"{second.address}/r1"
     assert again["last-event-id"] == "2"
@@ -58,24 +58,24 @@
 
 def test_run_without_an_event_does_not_ask_for_its_copy():
     # Engines copy nothing before the first event; asking queued behind other prompts.
-    world, _ = start()
-    server, _ = open_stream(world)
+    harness, _ = start()
+    server, _ = open_stream(harness)
     server.reset()
-    world.advance(0.01)
-    _, head, _ = world.take_request()
-    assert "kv-from" not in headers_of(head)
+    harness.advance(0.01)
+    _, head, _ = harness.take_request()
+    assert "kv-from" not in decode_headers(head)
 
 
 def test_copy_that_is_gone_leads_to_a_fresh_prompt():
-    world, caller = start()
-    server, _ = open_stream(world, 1)
+    harness, caller = start()
+    server, _ = open_stream(harness, 1)
     server.reset()
-    world.advance(0.01)
-    second, _, _ = world.take_request()
+    harness.advance(0.01)
+    second, _, _ = harness.take_request()
     second.receive(refusal("r1"))
-    world.advance(0.01)
-    third, head, _ = world.take_request()
-    sent = headers_of(head)
+    harness.advance(0.01)
+    third, head, _ = harness.take_request()
+    sent = decode_headers(head)
     assert "kv-from" not in sent
     assert sent["last-event-id"] == "1"
     third.receive(stream_head("r1") + chunk(event(2)) + STREAM_END)
@@ -83,12 +83,12 @@
 
 
 def test_silent_stream_with_a_copy_goes_on_within_the_allowed_pause():
-    world, caller = start()
-    first, sent = open_stream(world, 1)
-    world.advance(0.34)
-    assert world.count_waiting() == 0
-    world.advance(0.03)  # over half of the longest pause of 0.7 s
-    second, _, _ = world.take_request()
+    harness, caller = start()
+    first, sent = open_stream(harness, 1)
+    harness.advance(0.34)
+    assert harness.count_waiting() == 0
+    harness.advance(0.03)  # over half of the longest pause of 0.7 s
+    second, _, _ = harness.take_request()
     assert second.address == sent["x-kv-backup"]
     assert first.is_closed
     second.receive(stream_head("r1") + chunk(event(2)) + STREAM_END)
@@ -97,137 +97,137 @@
 
 def test_slow_prompt_on_a_live_server_is_waited_for():
     # A limit of 2.7 s once made streams leave engines that read two prompts.
-    world, caller = start()
-    server, _, _ = world.take_request()
-    world.advance(2.0)
-    assert world.count_waiting() == 0
+    harness, caller = start()
+    server, _, _ = harness.take_request()
+    harness.advance(2.0)
+    assert harness.count_waiting() == 0
     assert not server.is_closed
     server.receive(stream_head("r1") + chunk(event(1)))
     assert read_body(caller) == event(1)
 
 
 def test_server_that_accepts_no_connection_is_left_before_its_first_event():
-    world, _ = start()
-    first, _, _ = world.take_request()
-    world.silent.add(first.address)
-    world.advance(1.7)  # 0.3 of the target of 4.5 s, and the check
+    harness, _ = start()
+    first, _, _ = harness.take_request()
+    harness.silent.add(first.address)
+    harness.advance(1.7)  # 0.3 of the target of 4.5 s, and the check
     assert first.is_closed
-    second, _, _ = world.take_request()
+    second, _, _ = harness.take_request()
     assert second.address != first.address
 
 
 def test_loss_of_a_neighbour_lets_a_waiting_stream_check_its_server():
-    world = World(engines=6)
+    harness = ForwardingHarness(engines=6)
     callers = []
     servers = {}
     for number in range(6):
-        caller = world.open_caller()
+        caller = harness.open_caller()
         caller.request("/stream/x", request_id=f"r{number}", **SIZE)
         callers.append(caller)
-        server, head, _ = world.take_request()
-        servers[headers_of(head)["x-expect-instance"]] = (number, server)
+        server, head, _ = harness.take_request()
+        servers[decode_headers(head)["x-expect-instance"]] = (number, server)
     assert len(servers) == 6
-    world.advance(0.3)
+    harness.advance(0.3)
     for server_id in ("e-0", "e-3"):  # both in dc-a
-        world.silent.add(world.find_address(server_id))
+        harness.silent.add(harness.find_address(server_id))
     number, lost = servers["e-0"]
     lost.reset()
-    world.gateway._parts.count_unreachable(world.state.backends.find("e-0"))
-    world.advance(0.25)
+    harness.gateway._context.report_unreachable(harness.state.backends.find("e-0"))
+    harness.advance(0.25)
     assert servers["e-3"][1].is_closed
     assert not servers["e-1"][1].is_closed
 
 
 def test_loss_told_by_another_instance_is_believed_only_without_own_signs():
-    world, _ = start()
-    server, sent = open_stream(world, 1)
-    backend = world.state.backends.find(sent["x-expect-instance"])
-    world.gateway._parts.count_unreachable(backend, is_hearsay=True)
-    world.advance(0.1)
+    harness, _ = start()
+    server, sent = open_stream(harness, 1)
+    backend = harness.state.backends.find(sent["x-expect-instance"])
+    harness.gateway._context.report_unreachable(backend, is_from_peer=True)
+    harness.advance(0.1)
     assert not server.is_closed  # it was heard less than 0.2 s ago
 
 
 def test_stream_that_may_not_be_resumed_is_cut_visibly():
-    world, caller = start("/fixed/x")
-    server, _ = open_stream(world, 1)
+    harness, caller = start("/fixed/x")
+    server, _ = open_stream(harness, 1)
     server.reset()
-    world.advance(1.0)
-    assert world.count_waiting() == 0
+    harness.advance(1.0)
+    assert harness.count_waiting() == 0
     assert caller.transport.aborted
     assert not caller.read_answer()[3]
 
 
 def test_other_process_at_the_address_is_left_at_once():
-    world, _ = start()
-    server, _, _ = world.take_request()
+    harness, _ = start()
+    server, _, _ = harness.take_request()
     server.receive(answer("r1", b"", 421, X_Server_Stamp=None))
-    world.advance(0.01)
-    second, _, _ = world.take_request()
+    harness.advance(0.01)
+    second, _, _ = harness.take_request()
     assert second.address != server.address
 
 
 def test_servers_failure_before_the_first_event_is_tried_elsewhere():
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     server.receive(answer("r1", b"broken", 500))
-    world.advance(0.01)
-    open_stream(world, 1)
+    harness.advance(0.01)
+    open_stream(harness, 1)
     assert read_body(caller) == event(1)
 
 
 def test_refusal_by_the_server_that_concerns_the_request_is_passed_on():
-    world, caller = start()
-    server, _, _ = world.take_request()
+    harness, caller = start()
+    server, _, _ = harness.take_request()
     server.receive(answer("r1", b"too long", 400))
-    world.advance(0.01)
+    harness.advance(0.01)
     assert caller.read_answer()[:3:2] == (400, b"too long")
 
 
 def test_time_of_the_route_cuts_a_stream():
-    world, caller = start(X_Deadline_Ms="3000")
-    server, _ = open_stream(world, 1)
+    harness, caller = start(X_Deadline_Ms="3000")
+    server, _ = open_stream(harness, 1)
     for number in range(2, 12):
-        world.advance(0.3)
+        harness.advance(0.3)
         server.receive(chunk(event(number)))
-    world.advance(0.1)
+    harness.advance(0.1)
     assert caller.transport.aborted
     assert server.is_closed
 
 
 def test_caller_that_leaves_stops_the_engine():
-    world, caller = start()
-    server, _ = open_stream(world, 1)
-    caller.leave()
+    harness, caller = start()
+    server, _ = open_stream(harness, 1)
+    caller.disconnect()
     assert server.is_closed
 
 
 def test_callers_own_position_is_kept_on_the_first_attempt():
-    world, caller = start(Last_Event_Id="7")
-    server, sent = open_stream(world)
+    harness, caller = start(Last_Event_Id="7")
+    server, sent = open_stream(harness)
     assert sent["last-event-id"] == "7"
     server.receive(chunk(event(7)) + chunk(event(8)))
     assert read_body(caller) == event(8)
 
 
 def test_a_stream_waits_for_room_and_takes_it_when_it_comes():
-    world, _ = start(engines=1, X_Token_Count="60000,700")
-    first, _, _ = world.take_request()
-    caller = world.open_caller()
+    harness, _ = start(engines=1, X_Token_Count="60000,700")
+    first, _, _ = harness.take_request()
+    caller = harness.open_caller()
     caller.request("/stream/x", request_id="r2", **{**SIZE, **BIG})
-    world.advance(0.5)
-    assert world.count_waiting() == 0
+    harness.advance(0.5)
+    assert harness.count_waiting() == 0
     first.receive(stream_head("r1") + chunk(event(1)) + STREAM_END)
-    world.advance(0.01)
-    assert world.count_waiting() == 1
+    harness.advance(0.01)
+    assert harness.count_waiting() == 1
 
 
 def test_a_stream_without_room_is_refused_while_its_caller_can_still_come_back():
-    world, _ = start(engines=1, X_Token_Count="60000,700", X_Deadline_Ms="25000")
-    server, _ = open_stream(world, 1)
-    caller = world.open_caller()
+    harness, _ = start(engines=1, X_Token_Count="60000,700", X_Deadline_Ms="25000")
+    server, _ = open_stream(harness, 1)
+    caller = harness.open_caller()
     caller.request("/stream/x", request_id="r2", **{**SIZE, **HALF})
     for number in range(2, 96):
-        world.advance(0.2)
+        harness.advance(0.2)
         server.receive(chunk(event(number)))
     status, headers, _, _ = caller.read_answer()
     assert status == 503
@@ -239,58 +239,58 @@
 
 
 def test_refused_connections_spend_no_repeat_of_a_stream():
-    world = World(engines=6)
+    harness = ForwardingHarness(engines=6)
     for number in range(5):
-        world.refused.add(world.find_address(f"e-{number}"))
-    caller = world.open_caller()
+        harness.refused.add(harness.find_address(f"e-{number}"))
+    caller = harness.open_caller()
     caller.request("/stream/x", **SIZE)
-    world.advance(0.1)
-    server, _, _ = world.take_request()
-    assert server.address == world.find_address("e-5")
-    budget = world.gateway._parts.budget
+    harness.advance(0.1)
+    server, _, _ = harness.take_request()
+    assert server.address == harness.find_address("e-5")
+    budget = harness.gateway._context.budget
     assert sum(each.retries for each in budget._counts["engines"]) == 0
 
 
 def test_a_release_of_everything_leaves_no_use_behind():
-    world, _ = start()
-    server, _ = open_stream(world, 1)
+    harness, _ = start()
+    server, _ = open_stream(harness, 1)
     server.receive(STREAM_END)
-    world.advance(0.01)
-    for each in world.state.backends:
+    harness.advance(0.01)
+    for each in harness.state.backends:
         assert (each.in_flight, each.run_tokens, each.copy_tokens) == (0, 0, 0)
         assert each.prefill_tokens == 0
 
 
 def test_copy_whose_holder_died_is_not_tried_again():
-    world, _ = start(engines=6)
-    server, _ = open_stream(world, 1)
+    harness, _ = start(engines=6)
+    server, _ = open_stream(harness, 1)
     server.reset()
-    world.advance(0.01)
-    second, _, _ = world.take_request()
+    harness.advance(0.01)
+    second, _, _ = harness.take_request()
     second.reset()
-    world.advance(0.01)
-    third, head, _ = world.take_request()
+    harness.advance(0.01)
+    third, head, _ = harness.take_request()
     assert third.address != second.address
-    assert "kv-from" not in headers_of(head)
+    assert "kv-from" not in decode_headers(head)
 
 
 def test_status_that_reads_as_a_promise_is_not_passed_on_after_a_run():
-    world, caller = start("/fixed/x")
-    server, _, _ = world.take_request()
+    harness, caller = start("/fixed/x")
+    server, _, _ = harness.take_request()
     server.receive(answer("r1", b"busy", 429))
-    world.advance(0.01)
+    harness.advance(0.01)
     assert caller.read_answer()[0] == 502
 
 
 def test_server_that_gets_no_new_work_is_told_of_once():
-    world, _ = start()
-    server, sent = open_stream(world, 1)
-    world.refused.add(server.address)
+    harness, _ = start()
+    server, sent = open_stream(harness, 1)
+    harness.refused.add(server.address)
     with capture_logs() as lines:
         server.reset()
         for _ in range(3):
-            lost = world.state.backends.find(sent["x-expect-instance"])
-            world.gateway._parts.count_unreachable(lost)
+            lost = harness.state.backends.find(sent["x-expect-instance"])
+            harness.gateway._context.report_unreachable(lost)
     told = [line for line in lines if line["event"] == "backend_suspected"]
     assert len(told) == 1
     assert told[0]["server"] == sent["x-expect-instance"]
