--- a/packages/node/src/ebonyhaven_node/forwarding/_attempt_monitors.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempt_monitors.py
@@ -1,4 +1,4 @@
-"""Progress and silence of one attempt at a stream."""
+"""Monitoring of the progress and the silence of attempts at streams."""
 
 from __future__ import annotations
 
@@ -21,29 +21,43 @@
 
 
 class AttemptMonitor:
-    """What one attempt at a stream has shown so far.
+    """Monitors the response to one attempt at a stream.
 
     Parameters
     ----------
     attempt : Attempt
     route : Route
-    parts : RelayContext
-    claim : EngineReservation
+    context : RelayContext
+    reservation : EngineReservation
+
+    Attributes
+    ----------
+    head : AnswerHead or None
+        None until the head arrived.
+    events : int
+        Events received in this attempt.
+    started_at, first_event_at, last_received_at, probed_at : float
+        Seconds.
+    longest_gap_s : float
+        Longest gap between two events of this attempt.
+    splitter : EventSplitter
+    error_body : list of bytes
+        Body received so far if the response is not an event stream.
     """
 
     __slots__ = (
         "_attempt",
-        "_claim",
-        "_longest_estimate_s",
         "_context",
+        "_longest_estimate_s",
+        "_reservation",
         "_route",
-        "checked_at",
         "error_body",
         "events",
-        "first_at",
+        "first_event_at",
         "head",
-        "heard_at",
+        "last_received_at",
         "longest_gap_s",
+        "probed_at",
         "splitter",
         "started_at",
     )
@@ -52,56 +66,80 @@
         self,
         attempt: Attempt,
         route: Route,
-        parts: RelayContext,
-        claim: EngineReservation,
+        context: RelayContext,
+        reservation: EngineReservation,
     ):
         self._attempt = attempt
         self._route = route
-        self._context = parts
-        self._claim = claim
+        self._context = context
+        self._reservation = reservation
         self.head: AnswerHead | None = None
-        self.heard_at = self.started_at = parts.clock()
-        self.checked_at = -math.inf
+        self.last_received_at = self.started_at = context.clock()
+        self.probed_at = -math.inf
         self.longest_gap_s = 0.0
         self._longest_estimate_s = 0.0
         self.events = 0
-        self.first_at = self.started_at
+        self.first_event_at = self.started_at
         self.splitter = EventSplitter()
         self.error_body: list[bytes] = []
 
-    def take_head(self, head: AnswerHead) -> None:
-        """Take note of the head of the answer."""
+    def record_head(self, head: AnswerHead) -> None:
+        """Record the head of the response.
+
+        Parameters
+        ----------
+        head : AnswerHead
+        """
         self.head = head
-        self.heard_at = self._context.clock()
+        self.last_received_at = self._context.clock()
 
-    def is_stream(self) -> bool:
-        """Tell whether the answer is the server's own stream."""
+    def is_event_stream(self) -> bool:
+        """Return whether the response is a stream with proof of its origin."""
         head = self.head
         return head.status == 200 and head.has_proof and head.request_id is not None
 
     def record_events(self, now: float, count: int) -> None:
-        """Take note of events that arrived."""
+        """Record that events arrived.
+
+        Parameters
+        ----------
+        now : float
+            Seconds.
+        count : int
+            Number of events.
+        """
         if self.events == 0:
-            self.first_at = now
-            tokens = self._claim.prefill_tokens
+            self.first_event_at = now
+            tokens = self._reservation.prefill_tokens
+            # Other prefills of this instance on the engine would distort the rate.
             if tokens and self._attempt.backend.prefill_tokens == tokens:
                 self._context.prefill.record(tokens, now - self.started_at)
-            self._claim.end_prefill()
+            self._reservation.release_prefill()
         else:
-            self.longest_gap_s = max(self.longest_gap_s, now - self.heard_at)
+            self.longest_gap_s = max(self.longest_gap_s, now - self.last_received_at)
         self.events += count
-        self.heard_at = now
+        self.last_received_at = now
 
-    def record_whole_answer(self) -> None:
-        """Take note of how long an answer took that this server gave alone."""
+    def record_stream_completed(self) -> None:
+        """Record the durations of a stream that one attempt served completely."""
         self._context.get_stream_durations(self._route.name).record(
-            first_event_s=self.first_at - self.started_at,
-            streaming_s=self._context.clock() - self.first_at,
+            first_event_s=self.first_event_at - self.started_at,
+            streaming_s=self._context.clock() - self.first_event_at,
             events=self.events,
         )
 
-    def read_limits(self, has_copy: bool) -> SilenceLimits:
-        """Return how long the server may be silent now."""
+    def compute_silence_limits(self, has_copy: bool) -> SilenceLimits:
+        """Return how long the server may be silent now.
+
+        Parameters
+        ----------
+        has_copy : bool
+            Whether the run can resume from a copy.
+
+        Returns
+        -------
+        SilenceLimits
+        """
         if self.events:
             return compute_gap_limits(
                 target_gap_s=self._route.target_gap_s,
@@ -110,33 +148,51 @@
             )
         target_s = self._route.target_latency_s or 1.0
         return compute_first_event_limits(
-            target_latency_s=target_s, estimate_s=self._estimate_first_event()
+            target_latency_s=target_s, estimate_s=self._estimate_first_event_s()
         )
 
-    def _estimate_first_event(self) -> float:
-        """Return how long reading the prompts on the engine takes, seconds.
+    def _estimate_first_event_s(self) -> float:
+        """Return the expected time to the first event, seconds.
 
-        Those that were read meanwhile still count, as this one waited for them.
+        Prompts that the engine has prefilled meanwhile still count, because this
+        one waited for them.
         """
         backend = self._attempt.backend
         peers = self._context.peers.sum_by_server(self._context.clock())
-        others = peers.get(backend.server_id, EngineUse()).prefill_tokens
-        estimate_s = self._context.prefill.estimate_s(backend.prefill_tokens + others)
+        peer_tokens = peers.get(backend.server_id, EngineUse()).prefill_tokens
+        estimate_s = self._context.prefill.estimate_s(
+            backend.prefill_tokens + peer_tokens
+        )
         self._longest_estimate_s = max(self._longest_estimate_s, estimate_s)
         return self._longest_estimate_s
 
-    def read_wait(self, limits: SilenceLimits, now: float) -> float:
-        """Return the time until something is due if nothing arrives, seconds."""
-        check_at = max(
-            self.heard_at + limits.probe_after_s,
-            self.checked_at + SERVER_PROBE_INTERVAL_S,
+    def compute_wait_s(self, limits: SilenceLimits, now: float) -> float:
+        """Return the time until the next probe or resume if nothing arrives.
+
+        Parameters
+        ----------
+        limits : SilenceLimits
+        now : float
+            Seconds.
+
+        Returns
+        -------
+        float
+            Seconds.
+        """
+        probe_at = max(
+            self.last_received_at + limits.probe_after_s,
+            self.probed_at + SERVER_PROBE_INTERVAL_S,
         )
-        give_up_at = self.heard_at + limits.resume_after_s
-        return max(0.001, min(check_at, give_up_at) - now)
+        resume_at = self.last_received_at + limits.resume_after_s
+        return max(0.001, min(probe_at, resume_at) - now)
 
-    def is_doubtful(self) -> bool:
-        """Tell whether the server said nothing to anybody for a while."""
+    def is_server_silent(self) -> bool:
+        """Return whether the server sent nothing to this instance recently.
+
+        All requests of this instance on the server count, see `SILENT_SERVER_S`.
+        """
         now = self._context.clock()
         backend = self._attempt.backend
-        heard_at = max(backend.last_received_at, self.started_at)
-        return now - heard_at > SILENT_SERVER_S
+        last_received_at = max(backend.last_received_at, self.started_at)
+        return now - last_received_at > SILENT_SERVER_S
--- a/packages/node/src/ebonyhaven_node/forwarding/_context.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_context.py
@@ -1,4 +1,4 @@
-"""What the relays of requests share."""
+"""State and collaborators that all request relays of an instance share."""
 
 from __future__ import annotations
 
@@ -32,39 +32,55 @@
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import BackendDialect, RunCopier
 
-SILENT_SERVER_S = 0.2  # a working engine is heard more often than this
-DEATH_CONFIRMATION_S = 0.5  # shorter than a restart takes
-NEIGHBOURS_TOLD_S = 0.2  # losses are told within some ten milliseconds
-CHECK_TIMEOUT_S = 0.15  # a live server accepts within a few milliseconds
+SILENT_SERVER_S = 0.2  # a working engine sends data more often than this
+CRASH_CONFIRMATION_DELAY_S = 0.5  # shorter than a server restart
+DATA_CENTRE_CHECK_DELAY_S = 0.2  # losses are shared within tens of milliseconds
+PROBE_TIMEOUT_S = 0.15  # a live server accepts within milliseconds
 
 _log = structlog.get_logger()
 
 
 class SuspicionNotifier:
-    """Tells all streams that a server is lost or silent."""
+    """Notifies the subscribed streams of lost and silent servers."""
 
     __slots__ = ("_inboxes",)
 
     def __init__(self) -> None:
         self._inboxes: dict[Inbox, None] = {}
 
-    def join(self, inbox: Inbox) -> None:
-        """Tell ``inbox`` of suspicions."""
+    def subscribe(self, inbox: Inbox) -> None:
+        """Add a subscriber.
+
+        Parameters
+        ----------
+        inbox : Inbox
+            Receives `BackendSuspected`.
+        """
         self._inboxes[inbox] = None
 
-    def leave(self, inbox: Inbox) -> None:
-        """Stop telling ``inbox``."""
+    def unsubscribe(self, inbox: Inbox) -> None:
+        """Remove a subscriber, if subscribed.
+
+        Parameters
+        ----------
+        inbox : Inbox
+        """
         self._inboxes.pop(inbox, None)
 
-    def tell(self, backend: Backend) -> None:
-        """Tell all streams of a server."""
+    def notify(self, backend: Backend) -> None:
+        """Notify all subscribers of a suspected server.
+
+        Parameters
+        ----------
+        backend : Backend
+        """
         suspicion = BackendSuspected(backend.key, backend.entry.data_centre)
         for inbox in list(self._inboxes):
             inbox.put(suspicion)
 
 
 class CapacityNotifier:
-    """Requests that wait for room, woken when something changes."""
+    """Notifies waiting requests when servers or capacity may have become available."""
 
     __slots__ = ("_inboxes",)
 
@@ -74,23 +90,34 @@
     def __len__(self) -> int:
         return len(self._inboxes)
 
-    def join(self, inbox: Inbox) -> None:
-        """Wake ``inbox`` from now on."""
+    def subscribe(self, inbox: Inbox) -> None:
+        """Add a subscriber.
+
+        Parameters
+        ----------
+        inbox : Inbox
+            Receives `BackendsChanged`.
+        """
         self._inboxes[inbox] = None
 
-    def leave(self, inbox: Inbox) -> None:
-        """Wake it no more."""
+    def unsubscribe(self, inbox: Inbox) -> None:
+        """Remove a subscriber, if subscribed.
+
+        Parameters
+        ----------
+        inbox : Inbox
+        """
         self._inboxes.pop(inbox, None)
 
-    def wake(self) -> None:
-        """Wake all, the longest waiting first."""
+    def notify(self) -> None:
+        """Notify all subscribers in the order of their subscription."""
         for inbox in list(self._inboxes):
             inbox.put(BackendsChanged())
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class RelayContext:
-    """Collaborators of the relays.
+    """Collaborators shared by the request relays of an instance.
 
     Parameters
     ----------
@@ -100,26 +127,27 @@
     copier : RunCopier
     budget : ServiceRetryBudget
     peers : PeerEngineUse
+        Engine usage reported by the other instances.
     prefill : PrefillRate
     stream_durations : dict of str to StreamDurations
-        By route, as many as routes have answered streams.
+        By route name; bounded by the number of stream routes.
     suspicion_notifier : SuspicionNotifier
     capacity_notifier : CapacityNotifier
     metrics : ForwardingMetrics
     crashes : CrashReports
-    copies : SharedCopyIndex
+    copy_index : SharedCopyIndex
     data_centre : str
-        Where this instance is.
+        Data centre of this instance.
     reactor : IReactorTime
     rng : random.Random
     clock : callable
         Returns seconds.
     on_usage_change : callable
-        Called when what this instance occupies on engines changed.
+        Called when the engine usage of this instance changed.
     on_loss : callable
-        Called with each server that this instance found lost or silent.
+        Called with each server that this instance found unreachable or silent.
     on_other_process : callable
-        Called with a server and the id of the process that answers at its address.
+        Called with a server and the id of the process that now uses its address.
     """
 
     state: ForwardingState
@@ -134,7 +162,7 @@
     capacity_notifier: CapacityNotifier
     metrics: ForwardingMetrics
     crashes: CrashReports
-    copies: SharedCopyIndex
+    copy_index: SharedCopyIndex
     data_centre: str
     reactor: IReactorTime
     rng: random.Random
@@ -144,7 +172,7 @@
     on_other_process: Callable[[Backend, str], None] = lambda *_: None
 
     def get_stream_durations(self, route_name: str) -> StreamDurations:
-        """Return what is known of the answers of a route.
+        """Return the average durations of the streams of a route.
 
         Parameters
         ----------
@@ -159,13 +187,13 @@
     def report_unreachable(
         self, backend: Backend, *, is_from_peer: bool = False
     ) -> None:
-        """Keep new work away from a server, and tell the streams near it.
+        """Suspect a server and notify all streams.
 
         Parameters
         ----------
         backend : Backend
         is_from_peer : bool
-            Whether another instance found out; it is not told on then.
+            Whether another instance reported it; the report is then not forwarded.
         """
         now = self.clock()
         if now >= backend.suspect_until:
@@ -177,34 +205,35 @@
             self.on_loss(backend)
 
     def _log_suspected(self, backend: Backend, now: float, is_from_peer: bool) -> None:
-        is_heard = math.isfinite(backend.last_received_at)
+        has_received = math.isfinite(backend.last_received_at)
         _log.info(
             "backend_suspected",
             server=backend.server_id,
             data_centre=backend.entry.data_centre,
             found_by="another instance" if is_from_peer else "this instance",
-            silent_s=round(now - backend.last_received_at, 3) if is_heard else None,
+            silent_s=round(now - backend.last_received_at, 3) if has_received else None,
             failures=backend.failures + 1,
         )
 
     def report_replaced(self, backend: Backend, other_server: str | None) -> None:
-        """Send no more to a process in whose place another one answered.
+        """Suspect a server because another process responded at its address.
 
         Parameters
         ----------
         backend : Backend
         other_server : str or None
-            Id of the other process.
+            Id of the other process, if known.
         """
         backend.record_replaced(self.clock())
         if other_server is not None:
             self.on_other_process(backend, other_server)
 
     def report_death(self, request: ForwardRequest, backend: Backend) -> None:
-        """Take note that a server was lost before the first event of a stream.
+        """Report that a server was lost before the first event of a stream.
 
-        It is evidence against the content of the request only if the server is
-        still gone a moment later, and no other one of its data centre with it.
+        It counts as a crash caused by the content of the request only if the server
+        is still unreachable after `CRASH_CONFIRMATION_DELAY_S` and no other server
+        of its data centre is suspect.
 
         Parameters
         ----------
@@ -212,42 +241,42 @@
         backend : Backend
         """
 
-        def take_check(is_alive: bool) -> None:
+        def handle_probe(is_alive: bool) -> None:
             if is_alive:
                 return
             self.report_unreachable(backend)
             self.reactor.callLater(
-                NEIGHBOURS_TOLD_S, self._judge_death, request.content, backend
+                DATA_CENTRE_CHECK_DELAY_S, self._record_crash, request.content, backend
             )
 
         self.reactor.callLater(
-            DEATH_CONFIRMATION_S,
+            CRASH_CONFIRMATION_DELAY_S,
             self.pool.try_connect,
             backend.entry.address,
-            on_result=take_check,
-            timeout_s=CHECK_TIMEOUT_S,
+            on_result=handle_probe,
+            timeout_s=PROBE_TIMEOUT_S,
         )
 
-    def _judge_death(self, content: str, backend: Backend) -> None:
-        lost = self.state.backends.count_suspects(
+    def _record_crash(self, content: str, backend: Backend) -> None:
+        suspects = self.state.backends.count_suspects(
             backend.entry.data_centre, self.clock()
         )
-        if lost <= 1:
+        if suspects <= 1:
             self.crashes.record_death(content, server=backend, progress_tokens=0)
 
-    def check(self, backend: Backend, inbox: Inbox) -> None:
-        """Try whether a server accepts connections.
+    def probe(self, backend: Backend, inbox: Inbox) -> None:
+        """Check whether a server accepts connections.
 
         Parameters
         ----------
         backend : Backend
         inbox : Inbox
-            Gets `BackendChecked`.
+            Receives `BackendChecked`.
         """
 
-        def tell(is_alive: bool) -> None:
+        def report(is_alive: bool) -> None:
             inbox.put(BackendChecked(backend.key, is_alive))
 
         self.pool.try_connect(
-            backend.entry.address, on_result=tell, timeout_s=CHECK_TIMEOUT_S
+            backend.entry.address, on_result=report, timeout_s=PROBE_TIMEOUT_S
         )
--- a/packages/node/src/ebonyhaven_node/forwarding/_events.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_events.py
@@ -1,26 +1,26 @@
-"""Splitting an event stream into whole events without touching their bytes."""
+"""Splitting of an event stream into complete events, byte for byte."""
 
 from __future__ import annotations
 
 import re
 
 MAX_EVENT_BYTES = 1024 * 1024
-_END = re.compile(rb"\r?\n\r?\n")
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
 
 
 class EventSplitter:
-    """Collects bytes and gives back whole events.
+    """Buffers received bytes and returns complete events.
 
-    An event that is cut off by the loss of its server is never given back.
+    An event that is truncated by the loss of its server is never returned.
     """
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_buffer",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take in bytes and return the events that are whole now.
+        """Append received bytes and return the events that they complete.
 
         Parameters
         ----------
@@ -29,25 +29,25 @@
         Returns
         -------
         list of bytes
-            Each with the blank line that ends it.
+            Each including its terminating blank line.
 
         Raises
         ------
         ValueError
-            If an event is too long.
+            If an event exceeds `MAX_EVENT_BYTES`.
         """
-        text = self._rest + data
-        blocks = []
+        text = self._buffer + data
+        events = []
         start = 0
-        for match in _END.finditer(text):
-            blocks.append(text[start : match.end()])
+        for match in _EVENT_END.finditer(text):
+            events.append(text[start : match.end()])
             start = match.end()
-        self._rest = text[start:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer = text[start:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise ValueError("an event is too long")
-        return blocks
+        return events
 
-    def take_rest(self) -> bytes:
-        """Return the bytes after the last whole event."""
-        rest, self._rest = self._rest, b""
-        return rest
+    def take_remainder(self) -> bytes:
+        """Return and clear the bytes after the last complete event."""
+        remainder, self._buffer = self._buffer, b""
+        return remainder
--- a/packages/node/src/ebonyhaven_node/forwarding/_progress.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_progress.py
@@ -1,4 +1,4 @@
-"""What a caller has got of a stream so far."""
+"""Progress of a stream towards its caller."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 
 class StreamProgress:
-    """Delivers the events of a stream once each, and measures them.
+    """Delivers each event of a stream once and measures the delays.
 
     Parameters
     ----------
     request : ForwardRequest
     route : Route
     exchange : Exchange
-    parts : RelayContext
+    context : RelayContext
 
     Attributes
     ----------
     position : str or None
-        Id of the last event that the caller has.
+        Id of the last event delivered to the caller, also by another instance.
     delivered : int
         Events delivered by this instance.
     is_late : bool
-        Whether the stream missed a target.
+        Whether the stream missed a latency or gap target.
     is_complete : bool
-        Whether the end of the stream was passed on.
+        Whether the complete stream was delivered.
     resume_source : str or None
-        Set while a resumed stream waits for its next event: what it goes on from.
+        What a resumed stream continues from, until its next event; None otherwise.
     """
 
     def __init__(
@@ -44,12 +44,12 @@
         request: ForwardRequest,
         route: Route,
         exchange: Exchange,
-        parts: RelayContext,
+        context: RelayContext,
     ):
         self._request = request
         self._route = route
         self._exchange = exchange
-        self._context = parts
+        self._context = context
         self._delivered_at = 0.0
         self.position = request.last_event_id
         self.delivered = 0
@@ -57,8 +57,8 @@
         self.is_complete = False
         self.resume_source: str | None = None
 
-    def read_wait(self, now: float) -> tuple[float, float]:
-        """Return how long the caller has waited for its next event, and may on time.
+    def measure_wait(self, now: float) -> tuple[float, float]:
+        """Return how long the caller has waited for its next event, and the target.
 
         Parameters
         ----------
@@ -68,7 +68,7 @@
         Returns
         -------
         tuple of float
-            Both in seconds; the second is infinite without a target.
+            Both in seconds; the target is infinite if the route has none.
         """
         if self.delivered:
             waited_s, target_s = now - self._delivered_at, self._route.target_gap_s
@@ -77,59 +77,61 @@
             target_s = self._route.target_latency_s
         return waited_s, target_s or math.inf
 
-    def pick_new(self, blocks: list[bytes]) -> list[bytes]:
-        """Return the events that come after what the caller has.
+    def select_new(self, events: list[bytes]) -> list[bytes]:
+        """Return the events that the caller has not received yet.
+
+        Advances `position` past them.
 
         Parameters
         ----------
-        blocks : list of bytes
-            Whole events in order.
+        events : list of bytes
+            Complete events in order.
 
         Returns
         -------
         list of bytes
         """
-        return [block for block in blocks if self._advance(block)]
+        return [event for event in events if self._advance_position(event)]
 
-    def deliver(self, blocks: list[bytes], head: AnswerHead, now: float) -> None:
-        """Pass on events; the first ones are preceded by the head.
+    def deliver(self, events: list[bytes], head: AnswerHead, now: float) -> None:
+        """Send events to the caller, preceded by the response head if not yet sent.
 
         Parameters
         ----------
-        blocks : list of bytes
+        events : list of bytes
         head : AnswerHead
         now : float
             Seconds.
         """
-        if not blocks:
+        if not events:
             return
         if self._exchange.is_started:
-            self._note_pause(now - self._delivered_at)
+            self._record_gap(now - self._delivered_at)
         else:
             self._exchange.start_stream(head.status, head.headers)
-            self._note_first(now - self._request.arrived_at)
-        self._exchange.write(b"".join(blocks))
-        self.delivered += len(blocks)
+            self._record_first_event(now - self._request.arrived_at)
+        self._exchange.write(b"".join(events))
+        self.delivered += len(events)
         self._delivered_at = now
 
-    def finish(self, head: AnswerHead, rest: bytes) -> None:
-        """End the stream as complete.
+    def finish(self, head: AnswerHead, remainder: bytes) -> None:
+        """Complete the stream.
 
         Parameters
         ----------
         head : AnswerHead
-        rest : bytes
-            What follows the last event.
+        remainder : bytes
+            Bytes after the last event.
         """
         if not self._exchange.is_started:
             self._exchange.start_stream(head.status, head.headers)
-        if rest:
-            self._exchange.write(rest)
+        if remainder:
+            self._exchange.write(remainder)
         self._exchange.finish()
         self.is_complete = True
 
-    def _advance(self, block: bytes) -> bool:
-        event_id = self._context.dialect.read_event_id(block)
+    def _advance_position(self, event: bytes) -> bool:
+        event_id = self._context.dialect.read_event_id(event)
         if event_id is None:
             return True
         if self.position is not None and not _is_after(event_id, self.position):
@@ -137,43 +139,43 @@
         self.position = event_id
         return True
 
-    def _note_first(self, elapsed_s: float) -> None:
+    def _record_first_event(self, elapsed_s: float) -> None:
         self._context.metrics.first_event.observe(elapsed_s)
         if elapsed_s > self._route.target_latency_s:
-            self._note_late("first_event", elapsed_s)
+            self._record_late("first_event", elapsed_s)
 
-    def _note_pause(self, pause_s: float) -> None:
+    def _record_gap(self, gap_s: float) -> None:
         target_s = self._route.target_gap_s
-        if target_s and pause_s > target_s:
-            self._note_late("pause", pause_s)
+        if target_s and gap_s > target_s:
+            self._record_late("pause", gap_s)
         if self.resume_source is None:
             return
         self._context.metrics.resumes.labels(self.resume_source).inc()
-        self._context.metrics.resume_pause.observe(pause_s)
+        self._context.metrics.resume_pause.observe(gap_s)
         _log.info(
             "stream_resumed",
             request=self._request.request_id,
             source=self.resume_source,
-            pause_s=round(pause_s, 3),
+            pause_s=round(gap_s, 3),
             position=self.position,
         )
         self.resume_source = None
 
-    def _note_late(self, what: str, seconds: float) -> None:
+    def _record_late(self, target: str, delay_s: float) -> None:
         if self.is_late:
             return
         self.is_late = True
         _log.warning(
             "stream_late",
             request=self._request.request_id,
-            what=what,
-            seconds=round(seconds, 3),
+            what=target,
+            seconds=round(delay_s, 3),
             position=self.position,
         )
 
 
 def _is_after(event_id: str, position: str) -> bool:
-    """Compare event ids, as numbers where they are."""
+    """Return whether an event id follows another; numeric ids compare as numbers."""
     if event_id.isdigit() and position.isdigit():
         return int(event_id) > int(position)
     return event_id != position
--- a/packages/node/src/ebonyhaven_node/forwarding/_reservations.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_reservations.py
@@ -1,4 +1,4 @@
-"""What one run occupies on engines, counted for placement."""
+"""Reservations of engine memory and prefill capacity for runs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EngineReservation:
-    """Counts a run on its engine and its copy on another one until released.
+    """Accounts for a run on its engine, and for its copy on another, until released.
 
     Parameters
     ----------
@@ -18,17 +18,17 @@
         Engine of the copy.
     demand : TokenDemand
     prefill_tokens : int
-        Tokens of the prompt that have to be read.
+        Prompt tokens that the engine has to prefill.
     on_change : callable
-        Called after each change.
+        Called without arguments after each change.
 
     Attributes
     ----------
     prefill_tokens : int
-        Tokens that are still counted as to be read.
+        Prompt tokens still accounted as not prefilled.
     """
 
-    __slots__ = ("_backend", "_holder", "_need", "_on_change", "prefill_tokens")
+    __slots__ = ("_backend", "_demand", "_holder", "_on_change", "prefill_tokens")
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
     ):
         self._backend: Backend | None = backend
         self._holder = holder
-        self._need = demand
+        self._demand = demand
         self._on_change = on_change
         self.prefill_tokens = prefill_tokens
         backend.run_tokens += demand.tokens
@@ -49,15 +49,15 @@
             holder.copy_tokens += demand.tokens
         on_change()
 
-    def end_prefill(self) -> None:
-        """Count the prompt as read."""
+    def release_prefill(self) -> None:
+        """Account for the prompt as prefilled."""
         if self._backend is not None and self.prefill_tokens:
             self._backend.prefill_tokens -= self.prefill_tokens
             self.prefill_tokens = 0
             self._on_change()
 
     def replace_holder(self, holder: Backend) -> None:
-        """Count the copy on another engine.
+        """Move the accounting of the copy to another engine.
 
         Parameters
         ----------
@@ -66,18 +66,18 @@
         if self._backend is None:
             return
         if self._holder is not None:
-            self._holder.copy_tokens -= self._need.tokens
+            self._holder.copy_tokens -= self._demand.tokens
         self._holder = holder
-        holder.copy_tokens += self._need.tokens
+        holder.copy_tokens += self._demand.tokens
         self._on_change()
 
     def release(self) -> None:
-        """Count nothing any more."""
+        """Release the run and its copy; further calls have no effect."""
         if self._backend is None:
             return
-        self.end_prefill()
-        self._backend.run_tokens -= self._need.tokens
+        self.release_prefill()
+        self._backend.run_tokens -= self._demand.tokens
         if self._holder is not None:
-            self._holder.copy_tokens -= self._need.tokens
+            self._holder.copy_tokens -= self._demand.tokens
         self._backend = None
         self._on_change()
--- a/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
@@ -1,7 +1,7 @@
-"""Copies of a run's memory on other engines, kept while the run lasts.
+"""Copies of a run's engine memory on other engines, maintained while it runs.
 
-Answers the load pattern of losses that follow each other: the engine that holds a
-run's copy is lost first, and the engine of the run some seconds later.
+Designed for consecutive losses: the engine with the copy of a run is lost first, and
+the engine of the run some seconds later.
 """
 
 from __future__ import annotations
@@ -28,36 +28,36 @@
 from ebonyhaven_node.forwarding._reservations import EngineReservation
 from ebonyhaven_node.forwarding._stream_servers import StreamServerSelector
 
-RETRY_S = 0.5  # a failed copy is tried again while most of the run is still to come
-REFRESH_SHARE = 0.4  # of the time that an engine keeps a copy without news
+COPY_RETRY_INTERVAL_S = 0.5  # short compared to the duration of a run
+COPY_REFRESH_SHARE = 0.4  # of the time to live of a copy
 
 _log = structlog.get_logger()
 
 
 class RunCopy:
-    """Where the copy of one run is, and whether it is still there.
+    """The copy of one run: its location and whether it is still available.
 
-    The engine of the run makes the first copy by itself as the run grows. When its
-    holder is lost, the run's engine is asked for another copy, which has to be
-    asked for again to stay and to grow.
+    The engine of the run creates the first copy itself and extends it as the run
+    grows. If the server with that copy is lost, the engine is requested to create
+    another one. Such a copy expires and does not grow unless the request is repeated.
 
     Parameters
     ----------
     request_id : str
     run_key : str or None
-        See `ForwardRequest.run_key`; None if nobody is told of the copy.
+        See `ForwardRequest.run_key`; None if the copy is not published.
     source : Backend
         Engine of the run.
     holder : Backend or None
         Engine of the first copy.
     engine : EngineTraits or None
         None if the run needs no copy.
-    claim : EngineReservation
-        Counts what the copy occupies.
-    servers : StreamServerSelector
+    reservation : EngineReservation
+        Accounts for the memory of the copy.
+    server_selector : StreamServerSelector
     inbox : Inbox
-        Gets `CopyMade`.
-    parts : RelayContext
+        Receives `CopyMade`.
+    context : RelayContext
     """
 
     def __init__(
@@ -68,141 +68,144 @@
         source: Backend,
         holder: Backend | None,
         engine: EngineTraits | None,
-        claim: EngineReservation,
-        servers: StreamServerSelector,
+        reservation: EngineReservation,
+        server_selector: StreamServerSelector,
         inbox: Inbox,
-        parts: RelayContext,
+        context: RelayContext,
     ):
         self.holder = holder
         self._request_id = request_id
         self._run_key = run_key
-        self._told: RunCopyLocation | None = None
+        self._published_location: RunCopyLocation | None = None
         self._source = source
         self._engine = engine
-        self._claim = claim
-        self._servers = servers
+        self._reservation = reservation
+        self._server_selector = server_selector
         self._inbox = inbox
-        self._context = parts
+        self._context = context
         self._handle: str | None = None
-        self._is_made = holder is not None
-        self._asked_at = -math.inf
-        self._checked_at = -math.inf
-        self._asking: Deferred | None = None
+        self._is_available = holder is not None
+        self._requested_at = -math.inf
+        self._probed_at = -math.inf
+        self._pending_request: Deferred | None = None
 
     @property
-    def place(self) -> CopyPlace:
-        """What the holder is told about the copy."""
+    def reference(self) -> CopyPlace:
+        """Reference with which the holder finds the copy."""
         if self._handle is None:
             return CopyPlace(self.holder.entry.address, None)
         return CopyPlace(self._source.entry.address, self._handle)
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether the run can go on from the copy.
+        """Return whether the run can resume from the copy.
 
         Parameters
         ----------
         now : float
             Seconds.
         """
-        if not self._is_made or self.holder is None:
+        if not self._is_available or self.holder is None:
             return False
         known = self._context.state.backends.find(self.holder.server_id)
         return known is self.holder and self.holder.can_resume_from_copy(now)
 
-    def review(self, now: float) -> None:
-        """Ask for another copy, or for the growth of one, when it is due.
+    def update(self, now: float) -> None:
+        """Request or refresh the copy when due, and publish its location.
 
         Parameters
         ----------
         now : float
             Seconds.
         """
-        self._renew(now)
-        self._tell(self._describe_place() if self.is_usable(now) else None)
+        self._renew_copy(now)
+        self._publish(self._locate() if self.is_usable(now) else None)
 
-    def _renew(self, now: float) -> None:
+    def _renew_copy(self, now: float) -> None:
         if self._engine is None or not self._engine.copies_on_request:
             return
-        if self._is_made and not self.is_usable(now):
-            self._lose("its holder is out of use")
-        if self._asking is not None:
+        if self._is_available and not self.is_usable(now):
+            self._record_loss("holder is not usable")
+        if self._pending_request is not None:
             return
-        age_s = now - self._asked_at
-        if not self._is_made and age_s >= RETRY_S:
-            self._ask_elsewhere(now)
-        elif self._is_made and self._handle and age_s >= self._refresh_s():
-            self._ask(self.holder, now)
+        age_s = now - self._requested_at
+        if not self._is_available and age_s >= COPY_RETRY_INTERVAL_S:
+            self._request_new_copy(now)
+        elif (
+            self._is_available and self._handle and age_s >= self._refresh_interval_s()
+        ):
+            self._request_copy(self.holder, now)
 
-    def _refresh_s(self) -> float:
-        return REFRESH_SHARE * self._engine.copy_ttl_s
+    def _refresh_interval_s(self) -> float:
+        return COPY_REFRESH_SHARE * self._engine.copy_ttl_s
 
-    def take(self, message: object) -> None:
-        """Learn from a message whether the copy is still there.
+    def handle_message(self, message: object) -> None:
+        """Update the availability of the copy from a message.
 
         Parameters
         ----------
         message : object
+            Messages of other types are ignored.
         """
         match message:
             case CopyMade(holder, handle):
-                self._take_answer(holder, handle)
-            case BackendSuspected() if self._is_made:
-                self._check_holder(message)
+                self._handle_answer(holder, handle)
+            case BackendSuspected() if self._is_available:
+                self._handle_suspicion(message)
             case BackendChecked(server_key, False):
-                if self._is_made and server_key == self.holder.key:
-                    self._lose("its holder accepts no connection")
+                if self._is_available and server_key == self.holder.key:
+                    self._record_loss("holder accepts no connection")
 
     def close(self, *, is_needed: bool, is_complete: bool) -> None:
-        """Ask for nothing more.
+        """Stop maintaining the copy and drop it if it is not needed.
 
         Parameters
         ----------
         is_needed : bool
-            Whether the run may still go on from the copy.
+            Whether the run may still resume from the copy.
         is_complete : bool
-            Whether the caller has the whole stream, so that it does not come back.
+            Whether the caller received the complete stream and will not retry it.
         """
         is_dropped = self._handle is not None and not is_needed
         if self._run_key is not None and (is_complete or is_dropped):
-            self._context.copies.forget(self._run_key)
-        if self._asking is not None:
-            self._asking.cancel()
+            self._context.copy_index.remove(self._run_key)
+        if self._pending_request is not None:
+            self._pending_request.cancel()
         if self._handle is not None and not is_needed:
-            dropping = ensureDeferred(
+            drop = ensureDeferred(
                 self._context.copier.drop_copy(
                     source=self._source.entry.address, handle=self._handle
                 )
             )
-            dropping.addErrback(self._note_undropped)
+            drop.addErrback(self._log_drop_failure)
 
-    def _describe_place(self) -> RunCopyLocation:
-        address, handle = self.place
+    def _locate(self) -> RunCopyLocation:
+        address, handle = self.reference
         return RunCopyLocation(
             self.holder.server_id, address, handle or self._request_id
         )
 
-    def _tell(self, place: RunCopyLocation | None) -> None:
-        if self._run_key is not None and place != self._told:
-            self._told = place
-            self._context.copies.tell(self._run_key, place)
+    def _publish(self, location: RunCopyLocation | None) -> None:
+        if self._run_key is not None and location != self._published_location:
+            self._published_location = location
+            self._context.copy_index.publish(self._run_key, location)
 
-    def _note_undropped(self, failure) -> None:
-        """Log that a copy was not freed; it expires by itself."""
+    def _log_drop_failure(self, failure) -> None:
+        """Log that dropping a copy failed; it expires after its time to live."""
         _log.info("run_copy_kept", request=self._request_id, error=str(failure.value))
 
-    def _check_holder(self, suspicion: BackendSuspected) -> None:
+    def _handle_suspicion(self, suspicion: BackendSuspected) -> None:
         if suspicion.server_key == self.holder.key:
-            self._lose("its holder was found lost")
+            self._record_loss("holder was reported lost")
             return
         if suspicion.data_centre != self.holder.entry.data_centre:
             return
         now = self._context.clock()
-        if now - self._checked_at >= SERVER_PROBE_INTERVAL_S:
-            self._checked_at = now
-            self._context.check(self.holder, self._inbox)
+        if now - self._probed_at >= SERVER_PROBE_INTERVAL_S:
+            self._probed_at = now
+            self._context.probe(self.holder, self._inbox)
 
-    def _lose(self, reason: str) -> None:
-        self._is_made = False
+    def _record_loss(self, reason: str) -> None:
+        self._is_available = False
         self._handle = None
         _log.info(
             "run_copy_lost",
@@ -211,42 +214,42 @@
             reason=reason,
         )
 
-    def _ask_elsewhere(self, now: float) -> None:
-        holder = self._servers.choose_holder(self._source, now)
+    def _request_new_copy(self, now: float) -> None:
+        holder = self._server_selector.choose_holder(self._source, now)
         if holder is None:
-            self._asked_at = now
+            self._requested_at = now
             return
         self.holder = holder
-        self._claim.replace_holder(holder)
-        self._ask(holder, now)
+        self._reservation.replace_holder(holder)
+        self._request_copy(holder, now)
 
-    def _ask(self, holder: Backend, now: float) -> None:
-        self._asked_at = now
-        asking = self._asking = ensureDeferred(
+    def _request_copy(self, holder: Backend, now: float) -> None:
+        self._requested_at = now
+        request = self._pending_request = ensureDeferred(
             self._context.copier.copy_run(
                 source=self._source.entry.address,
                 request_id=self._request_id,
                 target=holder.entry.address,
             )
         )
-        asking.addCallbacks(
+        request.addCallbacks(
             lambda handle: self._inbox.put(CopyMade(holder, handle)),
-            lambda failure: self._fail(holder, failure),
+            lambda failure: self._handle_failure(holder, failure),
         )
 
-    def _fail(self, holder: Backend, failure) -> None:
+    def _handle_failure(self, holder: Backend, failure) -> None:
         if failure.check(CancelledError):
             return
         _log.error("run_copy_failed", request=self._request_id, error=str(failure))
         self._inbox.put(CopyMade(holder, None))
 
-    def _take_answer(self, holder: Backend, handle: str | None) -> None:
-        self._asking = None
+    def _handle_answer(self, holder: Backend, handle: str | None) -> None:
+        self._pending_request = None
         if holder is not self.holder:
             return
-        was_made, self._is_made = self._is_made, handle is not None
+        was_available, self._is_available = self._is_available, handle is not None
         self._handle = handle
-        if not was_made and self._is_made:
+        if not was_available and self._is_available:
             self._context.metrics.copies.labels("made").inc()
             _log.info("run_copied", request=self._request_id, holder=holder.server_id)
         if handle is None:
--- a/packages/node/src/ebonyhaven_node/forwarding/_shared_copy_index.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_shared_copy_index.py
@@ -1,4 +1,4 @@
-"""Knowledge of runs' copies that survives the loss of their instance."""
+"""Index of the copies of runs that survives the loss of an instance."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from ebonyhaven_node._frames import Frame, FrameKind
 from ebonyhaven_node._membership import MembershipController
 
-PLACE_LIFE_S = 30.0  # longer than a generation takes
-ANSWER_TIMEOUT_S = 0.05  # instances answer within some milliseconds
+INDEX_ENTRY_TTL_S = 30.0  # exceeds the duration of a generation
+QUERY_TIMEOUT_S = 0.05  # live instances reply within milliseconds
 
 _log = structlog.get_logger()
 
 
 class SharedCopyIndex:
-    """Tells some other instances where copies of runs are, and asks them.
+    """Copies of runs, with each entry replicated to several instances.
 
-    Works alone until it is connected.
+    Only the entries of this instance are available until it is connected.
 
     Parameters
     ----------
@@ -40,12 +40,12 @@
     def __init__(self, reactor: IReactorTime, clock: Callable[[], float]):
         self._reactor = reactor
         self._clock = clock
-        self._places = RunCopyIndex(PLACE_LIFE_S)
+        self._index = RunCopyIndex(INDEX_ENTRY_TTL_S)
         self._membership: MembershipController | None = None
-        self._questions: dict[str, list[Deferred]] = {}
+        self._queries: dict[str, list[Deferred]] = {}
 
     def connect(self, membership: MembershipController, channels: Channels) -> None:
-        """Tell and ask other instances from now on.
+        """Start to replicate entries to other instances and to query them.
 
         Parameters
         ----------
@@ -53,38 +53,39 @@
         channels : Channels
         """
         self._membership = membership
-        channels.subscribe(FrameKind.RUN_PLACE, self._take)
-        channels.subscribe(FrameKind.RUN_PLACE_REQUEST, self._answer)
-        channels.subscribe(FrameKind.RUN_PLACE_ANSWER, self._take)
+        channels.subscribe(FrameKind.RUN_PLACE, self._handle_location)
+        channels.subscribe(FrameKind.RUN_PLACE_REQUEST, self._handle_query)
+        channels.subscribe(FrameKind.RUN_PLACE_ANSWER, self._handle_location)
 
-    def tell(self, key: str, place: RunCopyLocation | None) -> None:
-        """Let the keepers of a run know where its copy is.
+    def publish(self, key: str, location: RunCopyLocation | None) -> None:
+        """Set the location of the copy of a run on all replicas of its entry.
 
         Parameters
         ----------
         key : str
             See `ForwardRequest.run_key`.
-        place : RunCopyLocation or None
-            None when there is none any more.
+        location : RunCopyLocation or None
+            None if the run has no copy any more.
         """
-        self._places.record(key, place, self._clock())
-        for name in self._choose_keepers(key):
-            self._membership.send(name, FrameKind.RUN_PLACE, [key, place])
+        self._index.record(key, location, self._clock())
+        for name in self._choose_replicas(key):
+            self._membership.send(name, FrameKind.RUN_PLACE, [key, location])
 
-    def forget(self, key: str) -> None:
-        """Drop what this instance knows of a run.
+    def remove(self, key: str) -> None:
+        """Remove the entry of a run on this instance only.
 
-        Others are not told, which would cost half as much again as telling them of
-        the copy: an engine refuses to go on from a copy that it has no more.
+        Removing it on the replicas would add half of the traffic of publishing it.
+        An outdated entry is harmless, because an engine refuses to resume from a copy
+        that it no longer has.
 
         Parameters
         ----------
         key : str
         """
-        self._places.record(key, None, self._clock())
+        self._index.record(key, None, self._clock())
 
     async def find(self, key: str) -> RunCopyLocation | None:
-        """Return where the copy of a run is, asking others if need be.
+        """Return the location of the copy of a run, querying the replicas if unknown.
 
         Parameters
         ----------
@@ -93,62 +94,64 @@
         Returns
         -------
         RunCopyLocation or None
-            None when nobody answers in time that there is one.
+            None if no replica replies with a location in time.
         """
-        known = self._places.find(key, self._clock())
-        keepers = self._choose_keepers(key)
-        if known is not None or not keepers:
+        known = self._index.find(key, self._clock())
+        replicas = self._choose_replicas(key)
+        if known is not None or not replicas:
             return known
-        answer: Deferred = Deferred()
-        waiting = self._questions.setdefault(key, [])
-        waiting.append(answer)
-        timer = self._reactor.callLater(ANSWER_TIMEOUT_S, self._give_up, answer)
-        for name in keepers:
+        result: Deferred = Deferred()
+        pending = self._queries.setdefault(key, [])
+        pending.append(result)
+        timer = self._reactor.callLater(QUERY_TIMEOUT_S, self._expire, result)
+        for name in replicas:
             self._membership.send(name, FrameKind.RUN_PLACE_REQUEST, key)
         try:
-            return await answer
+            return await result
         finally:
             if timer.active():
                 timer.cancel()
-            waiting.remove(answer)
-            if not waiting:
-                self._questions.pop(key, None)
+            pending.remove(result)
+            if not pending:
+                self._queries.pop(key, None)
 
-    def _give_up(self, answer: Deferred) -> None:
-        if not answer.called:
-            answer.callback(None)
+    def _expire(self, result: Deferred) -> None:
+        if not result.called:
+            result.callback(None)
 
-    def _choose_keepers(self, key: str) -> list[str]:
+    def _choose_replicas(self, key: str) -> list[str]:
         if self._membership is None:
             return []
-        own = self._membership.own.name
+        own_name = self._membership.own.name
         names = [
             record.name
             for record in self._membership.members
             if record.state != MemberState.DEAD
         ]
-        return [name for name in choose_index_instances(key, names) if name != own]
+        return [name for name in choose_index_instances(key, names) if name != own_name]
 
-    def _answer(self, frame: Frame) -> None:
+    def _handle_query(self, frame: Frame) -> None:
         key = frame.payload
-        place = self._places.find(key, self._clock()) if isinstance(key, str) else None
-        if place is not None:
-            answer = [key, place]
-            self._membership.send(frame.sender, FrameKind.RUN_PLACE_ANSWER, answer)
-
-    def _take(self, frame: Frame) -> None:
+        location = (
+            self._index.find(key, self._clock()) if isinstance(key, str) else None
+        )
+        if location is not None:
+            reply = [key, location]
+            self._membership.send(frame.sender, FrameKind.RUN_PLACE_ANSWER, reply)
+
+    def _handle_location(self, frame: Frame) -> None:
         try:
-            key, place = _parse_place(frame.payload)
+            key, location = _parse_location(frame.payload)
         except (TypeError, ValueError) as error:
             _log.warning("run_place_malformed", peer=frame.sender, reason=str(error))
             return
-        self._places.record(key, place, self._clock())
-        for answer in list(self._questions.get(key, ())):
-            if place is not None and not answer.called:
-                answer.callback(place)
+        self._index.record(key, location, self._clock())
+        for result in list(self._queries.get(key, ())):
+            if location is not None and not result.called:
+                result.callback(location)
 
 
-def _parse_place(payload: Any) -> tuple[str, RunCopyLocation | None]:
+def _parse_location(payload: Any) -> tuple[str, RunCopyLocation | None]:
     key, values = payload
     if values is None:
         return str(key), None
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at a stream: from its sending until it ends, one way or the other."""
+"""Message handling of one attempt at a stream."""
 
 from __future__ import annotations
 
@@ -29,8 +29,21 @@
 class AttemptEnd(enum.Enum):
     """How an attempt ended.
 
-    ``NOT_RUN`` and ``UNREACHABLE`` prove that nothing ran; after the others the
-    server may have worked on the request.
+    ``DONE``
+        The response was forwarded, or the caller disconnected.
+    ``NOT_RUN``
+        The server refused the request.
+    ``UNREACHABLE``
+        The request was not sent.
+    ``LOST``
+        The connection ended after the request was sent.
+    ``SILENT``
+        The server was silent for too long.
+    ``ERROR``
+        The response was an error or malformed.
+
+    ``NOT_RUN`` and ``UNREACHABLE`` prove that the request was not run; with the
+    others, the server may have run it.
     """
 
     DONE = "done"
@@ -49,7 +62,7 @@
     end : AttemptEnd
     reason : str
     failure : tuple of (AnswerHead, bytes) or None
-        The server's own failure, if it can be passed on.
+        Error response of the server, if it may be forwarded to the caller.
     """
 
     end: AttemptEnd
@@ -58,44 +71,44 @@
 
 
 class StreamAttempt:
-    """Follows an attempt until the stream is complete or has to go on elsewhere.
+    """Runs an attempt until the stream completes or needs another attempt.
 
     Parameters
     ----------
     attempt : Attempt
-    follower : AttemptMonitor
+    monitor : AttemptMonitor
     copy : RunCopy
     progress : StreamProgress
     exchange : Exchange
     inbox : Inbox
-    parts : RelayContext
+    context : RelayContext
     deadline : float
-        End of the request, seconds.
+        Deadline of the request, seconds.
     """
 
     def __init__(
         self,
         *,
         attempt: Attempt,
-        follower: AttemptMonitor,
+        monitor: AttemptMonitor,
         copy: RunCopy,
         progress: StreamProgress,
         exchange: Exchange,
         inbox: Inbox,
-        parts: RelayContext,
+        context: RelayContext,
         deadline: float,
     ):
         self._attempt = attempt
         self._backend = attempt.backend
-        self._follower = follower
-        self._copy = copy
+        self._monitor = monitor
+        self._run_copy = copy
         self._progress = progress
         self._exchange = exchange
         self._inbox = inbox
-        self._context = parts
+        self._context = context
         self._deadline = deadline
 
-    async def follow(self) -> AttemptResult:
+    async def run(self) -> AttemptResult:
         """Handle messages until the attempt ends.
 
         Returns
@@ -104,20 +117,22 @@
         """
         while True:
             now = self._context.clock()
-            if self._follower.events:
-                self._copy.review(now)
-            limits = self._follower.read_limits(self._copy.is_usable(now))
-            wait_s = self._follower.read_wait(limits, now)
+            if self._monitor.events:
+                self._run_copy.update(now)
+            limits = self._monitor.compute_silence_limits(self._run_copy.is_usable(now))
+            wait_s = self._monitor.compute_wait_s(limits, now)
             message = await self._inbox.get(min(wait_s, self._deadline - now))
             if self._exchange.is_done:
                 return AttemptResult(AttemptEnd.DONE, "the caller left")
-            self._copy.take(message)
-            result = self._take(message, limits)
+            self._run_copy.handle_message(message)
+            result = self._handle_message(message, limits)
             if result is not None:
                 return result
 
-    def _take(self, message: object, limits: SilenceLimits) -> AttemptResult | None:
-        """Handle one message; return how the attempt ended, if it did."""
+    def _handle_message(
+        self, message: object, limits: SilenceLimits
+    ) -> AttemptResult | None:
+        """Handle a message, or None for a timeout; return the result at the end."""
         result = None
         match message:
             case None:
@@ -125,95 +140,99 @@
             case BackendSuspected():
                 result = self._handle_suspicion(message)
             case BackendChecked(server_key, False) if server_key == self._backend.key:
-                result = self._handle_dead()
+                result = self._handle_failed_probe()
             case AnswerStarted(sender, head) if sender is self._attempt:
-                self._take_head(head)
+                self._handle_head(head)
             case AnswerData(sender, data) if sender is self._attempt:
-                result = self._take_data(data)
+                result = self._handle_data(data)
             case AnswerEnded(sender) if sender is self._attempt:
-                result = self._take_end()
+                result = self._handle_end()
             case AttemptFailed(sender) if sender is self._attempt:
-                result = _describe_failure(message)
+                result = _make_failure_result(message)
         return result
 
     # -- silence -----------------------------------------------------------
 
     def _handle_suspicion(self, suspicion: BackendSuspected) -> AttemptResult | None:
-        """Leave a server that another stream found lost; check those near it."""
-        if not self._attempt.was_sent or not self._follower.is_doubtful():
+        """End the attempt if its server is silent and suspected.
+
+        Before the first event, a silent server is probed if another server of its data
+        centre is suspected.
+        """
+        if not self._attempt.was_sent or not self._monitor.is_server_silent():
             return None
         if suspicion.server_key == self._backend.key:
             reason = "the server was found silent by another stream"
             return AttemptResult(AttemptEnd.SILENT, reason)
-        is_near = suspicion.data_centre == self._backend.entry.data_centre
-        if is_near and not self._follower.events:
-            self._check()
+        is_same_data_centre = suspicion.data_centre == self._backend.entry.data_centre
+        if is_same_data_centre and not self._monitor.events:
+            self._probe()
         return None
 
-    def _handle_dead(self) -> AttemptResult | None:
-        if not self._follower.is_doubtful():
+    def _handle_failed_probe(self) -> AttemptResult | None:
+        if not self._monitor.is_server_silent():
             return None
         self._context.report_unreachable(self._backend)
         return AttemptResult(AttemptEnd.SILENT, "the server accepts no connection")
 
     def _handle_silence(self, limits: SilenceLimits) -> AttemptResult | None:
         now = self._context.clock()
-        silent_s = now - self._follower.heard_at
+        silent_s = now - self._monitor.last_received_at
         if now < self._deadline and silent_s < limits.resume_after_s:
-            self._check()
+            self._probe()
             return None
-        is_unheard = now - self._backend.last_received_at > SILENT_SERVER_S
-        if is_unheard and self._follower.events:
+        is_server_silent = now - self._backend.last_received_at > SILENT_SERVER_S
+        if is_server_silent and self._monitor.events:
             self._context.report_unreachable(self._backend)
         end = AttemptEnd.SILENT if self._attempt.was_sent else AttemptEnd.UNREACHABLE
         return AttemptResult(end, f"silent for {silent_s:.2f} s")
 
-    def _check(self) -> None:
+    def _probe(self) -> None:
         now = self._context.clock()
-        if now - self._follower.checked_at >= SERVER_PROBE_INTERVAL_S:
-            self._follower.checked_at = now
-            self._context.check(self._backend, self._inbox)
+        if now - self._monitor.probed_at >= SERVER_PROBE_INTERVAL_S:
+            self._monitor.probed_at = now
+            self._context.probe(self._backend, self._inbox)
 
-    # -- the answer --------------------------------------------------------
+    # -- response ----------------------------------------------------------
 
-    def _take_head(self, head: AnswerHead) -> None:
-        self._follower.take_head(head)
+    def _handle_head(self, head: AnswerHead) -> None:
+        self._monitor.record_head(head)
         if head.is_other_process:
             self._context.report_replaced(self._backend, head.other_server)
 
-    def _take_data(self, data: bytes) -> AttemptResult | None:
-        if not self._follower.is_stream():
-            self._follower.error_body.append(data)
+    def _handle_data(self, data: bytes) -> AttemptResult | None:
+        if not self._monitor.is_event_stream():
+            self._monitor.error_body.append(data)
             return None
         try:
-            blocks = self._follower.splitter.feed(data)
+            events = self._monitor.splitter.feed(data)
         except ValueError as error:
             return AttemptResult(AttemptEnd.ERROR, str(error))
         now = self._context.clock()
-        new = self._progress.pick_new(blocks)
-        if blocks:
-            self._follower.record_events(now, len(blocks))
-        self._progress.deliver(new, self._follower.head, now)
+        new_events = self._progress.select_new(events)
+        if events:
+            self._monitor.record_events(now, len(events))
+        self._progress.deliver(new_events, self._monitor.head, now)
         return None
 
-    def _take_end(self) -> AttemptResult:
-        head = self._follower.head
+    def _handle_end(self) -> AttemptResult:
+        head = self._monitor.head
         if head.not_run:
             return AttemptResult(
                 AttemptEnd.NOT_RUN, f"server refused with {head.status}"
             )
-        if not self._follower.is_stream():
-            return self._take_error(head)
-        self._progress.finish(head, self._follower.splitter.take_rest())
+        if not self._monitor.is_event_stream():
+            return self._handle_error(head)
+        self._progress.finish(head, self._monitor.splitter.take_remainder())
         if self._attempt.plan.last_event_id is None:
-            self._follower.record_whole_answer()
+            self._monitor.record_stream_completed()
         return AttemptResult(AttemptEnd.DONE, "complete")
 
-    def _take_error(self, head: AnswerHead) -> AttemptResult:
-        body = b"".join(self._follower.error_body)
+    def _handle_error(self, head: AnswerHead) -> AttemptResult:
+        body = b"".join(self._monitor.error_body)
         reason = f"server answered with {head.status}"
-        may_pass_on = head.has_proof and head.status not in PROMISING_STATUSES
-        if not may_pass_on or self._exchange.is_started:
+        may_forward = head.has_proof and head.status not in PROMISING_STATUSES
+        if not may_forward or self._exchange.is_started:
             return AttemptResult(AttemptEnd.ERROR, reason)
         if head.status < 500:
             self._exchange.respond(head.status, head.headers, body)
@@ -221,7 +240,7 @@
         return AttemptResult(AttemptEnd.ERROR, reason, (head, body))
 
 
-def _describe_failure(message: AttemptFailed) -> AttemptResult:
+def _make_failure_result(message: AttemptFailed) -> AttemptResult:
     if not message.was_sent:
         return AttemptResult(AttemptEnd.UNREACHABLE, message.reason)
     return AttemptResult(
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
@@ -1,4 +1,4 @@
-"""Servers and copy holders for one stream."""
+"""Selection of the servers of one stream."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 from ebonyhaven_node.forwarding._context import RelayContext
 
-AVOID_S = 2.0  # a server that lost a stream is chosen last for this time
-MIN_CONNECTIONS = 2.0  # to each server, however many instances share its bound
+AVOID_S = 2.0  # after an attempt failed on a server
+MIN_CONNECTIONS_PER_SERVER = 2.0  # however many instances share the service's limit
 
 
 class StreamServerSelector:
-    """Chooses the servers of one stream and remembers those that lost it.
+    """Selects servers for one stream, avoiding those on which it recently failed.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     engine : EngineTraits or None
         None for a service without model engines.
     demand : TokenDemand
-    parts : RelayContext
+    context : RelayContext
     """
 
     def __init__(
@@ -40,16 +40,16 @@
         service: str,
         engine: EngineTraits | None,
         demand: TokenDemand,
-        parts: RelayContext,
+        context: RelayContext,
     ):
         self._service = service
         self._engine = engine
-        self._need = demand
-        self._context = parts
-        self._avoided: dict[tuple[str, int], float] = {}
+        self._demand = demand
+        self._context = context
+        self._avoided_until: dict[tuple[str, int], float] = {}
 
     def avoid(self, backend: Backend, now: float) -> None:
-        """Choose a server last for a while.
+        """Select a server for `AVOID_S` only if no other one is usable.
 
         Parameters
         ----------
@@ -57,17 +57,17 @@
         now : float
             Seconds.
         """
-        self._avoided[backend.key] = now + AVOID_S
+        self._avoided_until[backend.key] = now + AVOID_S
 
     def choose(
         self, prompt_id: str, now: float, *, waited_s: float, target_s: float
     ) -> Backend | None:
-        """Return the server to send the request to, if one has room.
+        """Return the server for the next attempt.
 
         Parameters
         ----------
         prompt_id : str
-            Identifies the request's own part of its prompt.
+            Identifies the part of the prompt that is unique to the request.
         now : float
             Seconds.
         waited_s, target_s : float
@@ -76,11 +76,12 @@
         Returns
         -------
         Backend or None
+            None if no server has capacity.
         """
         usable = self._list_usable(now) or self._context.state.backends.list_usable(
             self._service, now
         )
-        usable = [each for each in usable if self._has_connections(each)]
+        usable = [each for each in usable if self._has_free_connection(each)]
         usable = self._context.state.backends.avoid_suspect_data_centres(usable, now)
         if self._engine is None:
             return choose_backend(
@@ -95,30 +96,30 @@
             for each in usable
             if is_prompt_admitted(
                 waited_s=waited_s,
-                queue_s=self._estimate_queue(each, peers),
+                queue_s=self._estimate_queue_s(each, peers),
                 target_s=target_s,
             )
         ]
         return choose_engine(
             admitting,
-            demand=self._need,
+            demand=self._demand,
             memory_tokens=self._engine.memory_tokens,
             peers=peers,
             rng=self._context.rng,
             prompt_id=prompt_id,
         )
 
-    def _estimate_queue(
+    def _estimate_queue_s(
         self, backend: Backend, peers: Mapping[str, EngineUse]
     ) -> float:
-        """Return the time to read the prompts on an engine with this one, seconds."""
+        """Return the time to prefill the queued prompts and this one, seconds."""
         tokens = count_queued_prefill_tokens(backend, peers)
         if not tokens:
             return 0.0
-        return self._context.prefill.estimate_s(tokens + self._need.prompt_tokens)
+        return self._context.prefill.estimate_s(tokens + self._demand.prompt_tokens)
 
     def choose_holder(self, source: Backend, now: float) -> Backend | None:
-        """Return the server that is to hold the copy of a run.
+        """Return the server for the copy of a run.
 
         Parameters
         ----------
@@ -130,16 +131,17 @@
         Returns
         -------
         Backend or None
+            None if the run needs no copy or no server has capacity for it.
         """
         if self._engine is None or not self._engine.copies_continuously:
             return None
-        if not self._need.prompt_tokens:
+        if not self._demand.prompt_tokens:
             return None
         directory = self._context.state.backends
         return choose_copy_holder(
             self._list_usable(now),
             source=source,
-            demand=self._need,
+            demand=self._demand,
             memory_tokens=self._engine.memory_tokens,
             peers=self._context.peers.sum_by_server(now),
             rng=self._context.rng,
@@ -149,15 +151,17 @@
         )
 
     def _list_usable(self, now: float) -> list[Backend]:
-        avoided = [key for key, until in self._avoided.items() if now < until]
+        avoided_keys = [
+            key for key, until in self._avoided_until.items() if now < until
+        ]
         directory = self._context.state.backends
-        return directory.list_usable(self._service, now, avoided)
+        return directory.list_usable(self._service, now, avoided_keys)
 
-    def _has_connections(self, backend: Backend) -> bool:
+    def _has_free_connection(self, backend: Backend) -> bool:
         configuration = self._context.state.configuration
         service = configuration.services.get(self._service) if configuration else None
         if service is None:
             return True
         share = service.max_connections / max(1, self._context.budget.instances)
         open_count = self._context.pool.count_open(backend.entry.address)
-        return open_count < max(MIN_CONNECTIONS, share)
+        return open_count < max(MIN_CONNECTIONS_PER_SERVER, share)
--- a/packages/node/src/ebonyhaven_node/forwarding/_streams.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_streams.py
@@ -1,4 +1,4 @@
-"""Event streams: each event once, across the loss of backend servers."""
+"""Relay of event streams that delivers each event once despite server losses."""
 
 from __future__ import annotations
 
@@ -39,26 +39,26 @@
 )
 from ebonyhaven_node.forwarding._stream_servers import StreamServerSelector
 
-WAIT_STEP_S = 0.1  # how often a waiting stream looks for room without being woken
-TRIES_MAX = 40  # servers that vanish do not count against the route's attempts
-RESUME_URGENCY = 2  # before new requests, as a caller is in the middle of its answer
-LATE_URGENCY = 7  # a stream that is late already yields to those on time
-NEW_URGENCY = 5  # what engines assume by themselves
-LAST_START_SHARE = 0.75  # of the caller's time: a later start would not finish
-TOO_LATE = "too little time is left for a whole answer"
+CAPACITY_POLL_INTERVAL_S = 0.1  # if no notification arrives
+MAX_TRIED_SERVERS = 40  # lost servers do not count against the route's max_attempts
+RESUME_URGENCY = 2  # before new requests, as the caller has received a partial stream
+LATE_URGENCY = 7  # yields to streams that can still meet their target
+DEFAULT_URGENCY = 5  # assumed by engines if the request states none
+LATEST_START_SHARE = 0.75  # of the time limit; streams started later would not complete
+TOO_LATE_REASON = "too little time is left for a whole answer"
 
 _log = structlog.get_logger()
 
 
 class _Target(NamedTuple):
-    """Where an attempt goes, and the copy that it goes on from."""
+    """Server of an attempt, and the copy that the run resumes from."""
 
     backend: Backend
     copy: CopyPlace | None
 
 
 class StreamRelay:
-    """Passes on the events of one generation, whatever happens to its engine.
+    """Relays one event stream, resuming it on other servers after losses.
 
     Parameters
     ----------
@@ -68,7 +68,7 @@
     engine : EngineTraits or None
     workspace : str or None
     urgency : int
-        Rank of the request among others, 0 is the most urgent.
+        Urgency of the request; 0 is the most urgent.
     exchange : Exchange
     parts : RelayContext
     """
@@ -95,7 +95,7 @@
         self._context = parts
         self._inbox = Inbox(parts.reactor)
         size = request.size
-        self._need = (
+        self._demand = (
             TokenDemand(size.prompt_tokens, size.output_tokens)
             if size
             else TokenDemand(0, 0)
@@ -104,62 +104,62 @@
         if request.wait_s is not None:
             wait_s = min(wait_s, request.wait_s)
         self._deadline = request.arrived_at + wait_s
-        self._last_start = request.arrived_at + LAST_START_SHARE * wait_s
+        self._latest_start = request.arrived_at + LATEST_START_SHARE * wait_s
         self._progress = StreamProgress(
-            request=request, route=route, exchange=exchange, parts=parts
+            request=request, route=route, exchange=exchange, context=parts
         )
         self._attempts = 0
-        self._tries = 0
-        self._charged = 0
+        self._tried_servers = 0
+        self._failed_attempts = 0
         self._may_have_run = False
-        self._servers = StreamServerSelector(
-            service=service, engine=engine, demand=self._need, parts=parts
+        self._server_selector = StreamServerSelector(
+            service=service, engine=engine, demand=self._demand, context=parts
         )
-        self._copy: RunCopy | None = None
-        self._earlier = EarlierRun(request=request, route=route, parts=parts)
-        self._failed: tuple[AnswerHead, bytes] | None = None
+        self._run_copy: RunCopy | None = None
+        self._earlier_run = EarlierRun(request=request, route=route, context=parts)
+        self._failed_answer: tuple[AnswerHead, bytes] | None = None
         self._last_reason = "no server was tried"
         self._last_peer = "self"
 
     async def run(self) -> None:
-        """Answer the caller.
+        """Respond to the caller.
 
         Raises
         ------
         RequestFailure
-            When nothing was delivered and nothing more can be tried.
+            If no event was delivered and no further attempt is possible.
         """
         self._context.budget.record_request(self._service, self._context.clock())
-        await self._earlier.look()
+        await self._earlier_run.find_copy()
         while not self._exchange.is_done:
-            target = await self._find_server()
+            target = await self._wait_for_target()
             if target is None or self._exchange.is_done:
                 return
-            result = await self._try_server(target)
+            result = await self._try_target(target)
             if result.end is AttemptEnd.DONE or self._exchange.is_done:
                 return
-            self._note_result(target, result)
+            self._record_result(target, result)
 
-    # -- choosing ----------------------------------------------------------
+    # -- target selection --------------------------------------------------
 
-    async def _find_server(self) -> _Target | None:
-        """Wait for a server with room and return it; None when given up."""
+    async def _wait_for_target(self) -> _Target | None:
+        """Wait for a server with capacity; return None if the request has ended."""
         self._context.capacity_notifier.subscribe(self._inbox)
         try:
             while not self._exchange.is_done:
                 now = self._context.clock()
-                self._check_limits(now)
-                choice = self._choose(now)
-                if choice is not None and self._take_repeat(now):
+                self._check_may_continue(now)
+                choice = self._choose_target(now)
+                if choice is not None and self._acquire_retry(now):
                     return choice
-                message = await self._inbox.get(WAIT_STEP_S)
+                message = await self._inbox.get(CAPACITY_POLL_INTERVAL_S)
                 while message is not None and not isinstance(message, BackendsChanged):
                     message = await self._inbox.get(0.0)
         finally:
             self._context.capacity_notifier.unsubscribe(self._inbox)
         return None
 
-    def _take_repeat(self, now: float) -> bool:
+    def _acquire_retry(self, now: float) -> bool:
         if not self._attempts:
             return True
         if self._context.budget.acquire_retry(self._service, now):
@@ -167,36 +167,39 @@
         self._context.metrics.budget_refusals.inc()
         return False
 
-    def _check_limits(self, now: float) -> None:
-        """End the request if another attempt is not allowed or cannot help."""
+    def _check_may_continue(self, now: float) -> None:
+        """End the request if another attempt is not allowed or cannot succeed."""
         if now >= self._deadline:
-            self._end_without(now, "the time of the request is over")
-        elif not self._may_have_run and now >= self._last_start:
-            self._end_without(now, "no server had room in time")
-        elif not self._progress.delivered and not self._can_end_in_time(now):
-            self._end_without(now, TOO_LATE)
+            self._give_up(now, "the time of the request is over")
+        elif not self._may_have_run and now >= self._latest_start:
+            self._give_up(now, "no server had room in time")
+        elif not self._progress.delivered and not self._can_finish_in_time(now):
+            self._give_up(now, TOO_LATE_REASON)
         elif self._may_have_run and not self._route.may_retry:
-            self._end_without(now, self._last_reason)
-        elif self._stops_servers():
-            self._end_without(now, "servers died each time they began the request")
-        elif self._charged >= self._route.max_attempts or self._tries >= TRIES_MAX:
-            self._end_without(now, f"too many attempts; last: {self._last_reason}")
+            self._give_up(now, self._last_reason)
+        elif self._is_stopped_by_crashes():
+            self._give_up(now, "servers died each time they began the request")
+        elif (
+            self._failed_attempts >= self._route.max_attempts
+            or self._tried_servers >= MAX_TRIED_SERVERS
+        ):
+            self._give_up(now, f"too many attempts; last: {self._last_reason}")
 
-    def _can_end_in_time(self, now: float) -> bool:
+    def _can_finish_in_time(self, now: float) -> bool:
         position = self._progress.position or ""
         return self._context.get_stream_durations(self._route.name).can_finish_in_time(
             remaining_s=self._deadline - now,
             events_delivered=int(position) if position.isdigit() else 0,
-            has_copy=self._earlier.has_copy,
+            has_copy=self._earlier_run.has_copy,
         )
 
-    def _stops_servers(self) -> bool:
+    def _is_stopped_by_crashes(self) -> bool:
         if not self._may_have_run:
             return False
         verdict = self._context.crashes.judge(self._request.content)
         return verdict is CrashVerdict.STOPPED
 
-    def _end_without(self, now: float, reason: str) -> None:
+    def _give_up(self, now: float, reason: str) -> None:
         _log.warning(
             "stream_given_up",
             request=self._request.request_id,
@@ -208,60 +211,60 @@
         if self._exchange.is_started:
             self._exchange.abort()
             return
-        if self._failed is not None:  # the server's own failure says more
-            head, body = self._failed
+        if self._failed_answer is not None:  # more specific than `reason`
+            head, body = self._failed_answer
             self._exchange.respond(head.status, head.headers, body)
             return
         if not self._may_have_run:
-            retry_after_s = None if reason == TOO_LATE else NO_SERVER_RETRY_S
+            retry_after_s = None if reason == TOO_LATE_REASON else NO_SERVER_RETRY_S
             raise refuse(reason, step="route", retry_after_s=retry_after_s)
         is_late = now >= self._deadline
         raise give_up(
             reason, step="stream", peer=self._last_peer, status=504 if is_late else 502
         )
 
-    def _choose(self, now: float) -> _Target | None:
-        copy = self._copy
+    def _choose_target(self, now: float) -> _Target | None:
+        copy = self._run_copy
         if copy is not None and copy.is_usable(now):
-            return _Target(copy.holder, copy.place)
-        self._copy = None
-        earlier = self._earlier.take_copy(now)
+            return _Target(copy.holder, copy.reference)
+        self._run_copy = None
+        earlier = self._earlier_run.take_copy(now)
         if earlier is not None:
             return _Target(*earlier)
-        waited_s, target_s = self._progress.read_wait(now)
-        backend = self._servers.choose(
+        waited_s, target_s = self._progress.measure_wait(now)
+        backend = self._server_selector.choose(
             self._request.prompt_id or "", now, waited_s=waited_s, target_s=target_s
         )
         return None if backend is None else _Target(backend, None)
 
-    # -- one attempt -------------------------------------------------------
+    # -- attempt -----------------------------------------------------------
 
-    async def _try_server(self, target: _Target) -> AttemptResult:
+    async def _try_target(self, target: _Target) -> AttemptResult:
         now = self._context.clock()
         backend = target.backend
-        self._copy = None  # a copy serves once
+        self._run_copy = None  # a copy can be used only once
         holder = None
         if self._route.may_retry:
-            holder = self._servers.choose_holder(backend, now)
+            holder = self._server_selector.choose_holder(backend, now)
         self._attempts += 1
-        self._tries += 1
+        self._tried_servers += 1
         attempt = Attempt(
             request=self._request,
             backend=backend,
             plan=AttemptPlan(
                 remaining_s=self._deadline - now,
                 workspace=self._workspace,
-                urgency=self._rank(target.copy is not None),
+                urgency=self._choose_urgency(target.copy is not None),
                 copy_to=holder.entry.address if holder else None,
                 copy=target.copy,
                 last_event_id=self._progress.position,
             ),
             inbox=self._inbox,
-            parts=self._context,
+            context=self._context,
         )
-        prefill = 0 if target.copy else self._need.prompt_tokens
-        claim = EngineReservation(
-            backend, holder, self._need, prefill, self._context.on_usage_change
+        prefill_tokens = 0 if target.copy else self._demand.prompt_tokens
+        reservation = EngineReservation(
+            backend, holder, self._demand, prefill_tokens, self._context.on_usage_change
         )
         copy = RunCopy(
             request_id=self._request.request_id,
@@ -269,36 +272,40 @@
             source=backend,
             holder=holder,
             engine=self._engine if self._route.may_retry else None,
-            claim=claim,
-            servers=self._servers,
+            reservation=reservation,
+            server_selector=self._server_selector,
             inbox=self._inbox,
-            parts=self._context,
+            context=self._context,
         )
-        self._log_sent(target, holder, now)
-        return await self._run_attempt(attempt, claim, copy, target)
+        self._log_attempt_sent(target, holder, now)
+        return await self._run_attempt(attempt, reservation, copy, target)
 
     async def _run_attempt(
-        self, attempt: Attempt, claim: EngineReservation, copy: RunCopy, target: _Target
+        self,
+        attempt: Attempt,
+        reservation: EngineReservation,
+        copy: RunCopy,
+        target: _Target,
     ) -> AttemptResult:
         self._context.suspicion_notifier.subscribe(self._inbox)
         if self._progress.delivered:
             self._progress.resume_source = "copy" if target.copy else "prompt"
         attempt.start()
-        follower = AttemptMonitor(attempt, self._route, self._context, claim)
-        following = StreamAttempt(
+        monitor = AttemptMonitor(attempt, self._route, self._context, reservation)
+        stream_attempt = StreamAttempt(
             attempt=attempt,
-            follower=follower,
+            monitor=monitor,
             copy=copy,
             progress=self._progress,
             exchange=self._exchange,
             inbox=self._inbox,
-            parts=self._context,
+            context=self._context,
             deadline=self._deadline,
         )
         try:
-            result = await following.follow()
-            if follower.events:  # engines copy nothing before the first event
-                self._copy = copy
+            result = await stream_attempt.run()
+            if monitor.events:  # engines create copies only after the first event
+                self._run_copy = copy
             elif result.end is AttemptEnd.LOST:
                 self._context.report_death(self._request, attempt.backend)
             return result
@@ -307,14 +314,16 @@
                 is_needed=not self._exchange.is_done,
                 is_complete=self._progress.is_complete,
             )
-            claim.release()
+            reservation.release()
             self._context.capacity_notifier.notify()
             self._context.suspicion_notifier.unsubscribe(self._inbox)
             attempt.cancel()
 
-    def _log_sent(self, target: _Target, holder: Backend | None, now: float) -> None:
+    def _log_attempt_sent(
+        self, target: _Target, holder: Backend | None, now: float
+    ) -> None:
         backend = target.backend
-        peers = self._context.peers.sum_by_server(now).get(
+        peer_use = self._context.peers.sum_by_server(now).get(
             backend.server_id, EngineUse()
         )
         _log.info(
@@ -327,35 +336,35 @@
             copy_to=holder.server_id if holder else None,
             position=self._progress.position,
             attempt=self._attempts,
-            tokens=self._need.tokens,
+            tokens=self._demand.tokens,
             own_use=[backend.run_tokens, backend.copy_tokens, backend.prefill_tokens],
-            peer_use=list(peers),
+            peer_use=list(peer_use),
             waited_s=round(now - self._request.arrived_at, 3),
         )
 
-    def _rank(self, is_from_copy: bool) -> int | None:
+    def _choose_urgency(self, is_from_copy: bool) -> int | None:
         if self._progress.is_late:
             return LATE_URGENCY
         if is_from_copy or self._progress.delivered:
             return RESUME_URGENCY
-        rank = NEW_URGENCY - 1 + min(2, self._urgency)
-        return None if rank == NEW_URGENCY else rank
+        urgency = DEFAULT_URGENCY - 1 + min(2, self._urgency)
+        return None if urgency == DEFAULT_URGENCY else urgency
 
-    # -- after an attempt --------------------------------------------------
+    # -- result ------------------------------------------------------------
 
-    def _note_result(self, target: _Target, result: AttemptResult) -> None:
+    def _record_result(self, target: _Target, result: AttemptResult) -> None:
         now = self._context.clock()
         backend = target.backend
         end = result.end
         self._context.metrics.attempts.labels(self._route.kind.value, end.value).inc()
         self._last_reason = result.reason
         self._last_peer = backend.server_id
-        self._failed = result.failure or self._failed
-        self._log_ended(target, result, now)
+        self._failed_answer = result.failure or self._failed_answer
+        self._log_attempt_ended(target, result, now)
         if target.copy is not None and end is AttemptEnd.NOT_RUN:
             self._context.metrics.resumes.labels("copy_gone").inc()
             return
-        self._servers.avoid(backend, now)
+        self._server_selector.avoid(backend, now)
         if end is AttemptEnd.UNREACHABLE:
             self._attempts -= 1
             if self._attempts:
@@ -365,10 +374,12 @@
         self._may_have_run = True
         backend.record_result(succeeded=False, latency_s=None)
         if end in (AttemptEnd.SILENT, AttemptEnd.ERROR):
-            self._charged += 1
+            self._failed_attempts += 1
 
-    def _log_ended(self, target: _Target, result: AttemptResult, now: float) -> None:
-        copy = self._copy
+    def _log_attempt_ended(
+        self, target: _Target, result: AttemptResult, now: float
+    ) -> None:
+        copy = self._run_copy
         _log.info(
             "stream_attempt_ended",
             request=self._request.request_id,
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -1,4 +1,4 @@
-"""One instance between callers and backend servers in memory, on a clock of its own."""
+"""Harness with one instance, in-memory connections and a simulated clock."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class StaticStateSource(StateSource):
-    """A source that never tells anything; tests put the state in place."""
+    """A source without updates; tests set the state directly."""
 
     behind = False
     versions = (1, 1)
@@ -67,27 +67,27 @@
 
 
 class FixedInspector(ServerInspector):
-    """Says the same of each server."""
+    """Returns the same result for each server."""
 
     def __init__(self):
-        self.asked = []
+        self.inspected = []
         self.answer = InspectedServer(is_engine=True, started_ms=5)
 
     async def inspect(self, address):
-        self.asked.append(address)
+        self.inspected.append(address)
         return self.answer
 
 
 class FakeCopier(RunCopier):
-    """Makes each copy at once, or none."""
+    """Creates each copy immediately, or refuses all if ``handle`` is None."""
 
     def __init__(self):
-        self.asked = []
+        self.requested = []
         self.dropped = []
         self.handle = "h-1"
 
     async def copy_run(self, *, source, request_id, target):
-        self.asked.append((source, request_id, target))
+        self.requested.append((source, request_id, target))
         return self.handle
 
     async def drop_copy(self, *, source, handle):
@@ -99,7 +99,7 @@
 
 
 def answer(request_id, body=b"ok", status=200, **headers) -> bytes:
-    """Return the bytes of a whole answer of a server."""
+    """Return a complete response of a server, encoded."""
     fields = {
         "X-Attempt-Id": request_id,
         "X-Server-Stamp": STAMP,
@@ -113,7 +113,7 @@
 
 
 def refusal(request_id, status=503, **headers) -> bytes:
-    """Return a refusal that proves that nothing ran."""
+    """Return an encoded response that proves that the request was not run."""
     return answer(
         request_id, b"", status, X_Server_Stamp=None, X_Not_Executed="1", **headers
     )
@@ -141,7 +141,7 @@
 
 
 class Caller:
-    """A caller's connection."""
+    """Connection of a caller."""
 
     def __init__(self, harness, protocol):
         self.harness = harness
@@ -166,7 +166,7 @@
         lines += [f"{name}: {each}" for name, each in fields.items() if each]
         self.send("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self.protocol.connectionLost(Failure(ConnectionDone()))
         self.harness.advance(0.0)
 
@@ -175,7 +175,7 @@
         return self.transport.value()
 
     def read_answer(self) -> tuple[int, dict[str, str], bytes, bool]:
-        """Return status, headers, body so far, and whether it is whole."""
+        """Return status, headers, body so far, and whether the response is complete."""
         codec = h11.Connection(h11.CLIENT)
         codec.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
         codec.send(h11.EndOfMessage())
@@ -259,7 +259,15 @@
 
 
 class ForwardingHarness:
-    """An instance with its callers and backend servers."""
+    """An instance with simulated callers and backend servers.
+
+    Attributes
+    ----------
+    refused, silent : set of str
+        Addresses that refuse connections, and addresses that do not respond.
+    connections : list of ServerSide
+        Connections accepted by servers.
+    """
 
     def __init__(self, configuration=None, plain=3, engines=3):
         self.reactor = MemoryReactorClock()
@@ -268,7 +276,7 @@
         self.copier = FakeCopier()
         self.refused: set[str] = set()
         self.silent: set[str] = set()
-        self._seen = 0
+        self._accepted_count = 0
         self.connections: list[ServerSide] = []
         self.gateway = Gateway(
             settings=make_settings("dc-a"),
@@ -296,19 +304,19 @@
         return Caller(self, self.gateway.server.buildProtocol(None))
 
     def advance(self, seconds: float) -> None:
-        """Let time pass in small steps; servers accept connections meanwhile."""
+        """Advance the clock in steps of `STEP_S`; servers accept connections."""
         self._accept()
         end = self.reactor.seconds() + seconds
         while self.reactor.seconds() < end:
-            left = end - self.reactor.seconds()
-            self.reactor.advance(min(STEP_S, left))
+            remaining_s = end - self.reactor.seconds()
+            self.reactor.advance(min(STEP_S, remaining_s))
             self._accept()
 
     def _accept(self) -> None:
-        while self._seen < len(self.reactor.tcpClients):
-            number = self._seen
+        while self._accepted_count < len(self.reactor.tcpClients):
+            number = self._accepted_count
             host, port, factory, timeout, _ = self.reactor.tcpClients[number]
-            self._seen += 1
+            self._accepted_count += 1
             address = f"{host}:{port}"
             if address in self.refused:
                 failure = Failure(ConnectionLost("refused"))
@@ -323,7 +331,7 @@
                 self.connections.append(ServerSide(address, protocol))
 
     def take_request(self) -> tuple[ServerSide, h11.Request, bytes]:
-        """Return the one request that waits at a server."""
+        """Return the only pending request and the connection that received it."""
         waiting = [each for each in self.connections if each.has_request()]
         assert len(waiting) == 1, [each.address for each in waiting]
         head, body = waiting[0].read_request()
--- a/tests/forwarding/streaming.py
+++ b/tests/forwarding/streaming.py
@@ -1,4 +1,4 @@
-"""Streams of one caller, begun and answered by hand."""
+"""Helpers that start the stream of one caller and serve it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def open_stream(harness, *numbers):
-    """Let the server that has the request send its head and some events."""
+    """Accept the pending request and send a response head and events."""
     server, head, _ = harness.take_request()
     server.receive(stream_head("r1"))
     for number in numbers:
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -10,35 +10,35 @@
 )
 
 
-def ask(harness, path="/once/x", **options):
+def send_request(harness, path="/once/x", **options):
     caller = harness.open_caller()
     caller.request(path, **options)
     return caller
 
 
-def test_instance_without_a_configuration_refuses_as_not_run():
+def test_instance_without_a_configuration_refuses_requests():
     harness = ForwardingHarness(configuration=False)
-    status, headers, _, _ = ask(harness).read_answer()
+    status, headers, _, _ = send_request(harness).read_answer()
     assert status == 503
     assert float(headers["retry-after"]) > 0
 
 
-def test_unknown_route_and_unknown_key_are_told_apart():
+def test_unknown_route_and_unknown_key_get_different_statuses():
     harness = ForwardingHarness()
-    assert ask(harness, "/nothing/x").read_answer()[0] == 404
-    assert ask(harness, Authorization="Bearer wrong").read_answer()[0] == 401
-    assert ask(harness, Authorization=None).read_answer()[0] == 401
+    assert send_request(harness, "/nothing/x").read_answer()[0] == 404
+    assert send_request(harness, Authorization="Bearer wrong").read_answer()[0] == 401
+    assert send_request(harness, Authorization=None).read_answer()[0] == 401
     assert harness.count_waiting() == 0
 
 
-def test_open_route_needs_no_key_and_tells_no_forged_workspace():
+def test_anonymous_route_needs_no_key_and_drops_a_forged_workspace():
     harness = ForwardingHarness()
-    ask(harness, "/open/x", Authorization=None, X_Tenant_Name="forged")
+    send_request(harness, "/open/x", Authorization=None, X_Tenant_Name="forged")
     _, head, _ = harness.take_request()
     assert "x-tenant-name" not in decode_headers(head)
 
 
-def test_longest_prefix_wins():
+def test_longest_matching_prefix_selects_the_route():
     plain = make_configuration().routes[HOST][0]
     routes = [
         make_route("outer", plain.kind, path_prefix="/a/"),
@@ -57,7 +57,7 @@
     assert harness.state.configuration.version == 5
 
 
-def test_request_with_two_framings_is_rejected():
+def test_request_with_length_and_chunked_encoding_is_rejected():
     harness = ForwardingHarness()
     caller = harness.open_caller()
     caller.send(
@@ -72,7 +72,7 @@
     assert caller.transport.is_closed
 
 
-def test_limits_on_header_and_body():
+def test_oversized_header_and_body_are_rejected():
     harness = ForwardingHarness()
     limits = harness.state.limits
     caller = harness.open_caller()
@@ -85,13 +85,13 @@
     assert caller.read_answer()[0] == 413
 
 
-def test_request_without_an_id_is_malformed():
+def test_request_without_an_id_is_rejected():
     harness = ForwardingHarness()
-    assert ask(harness, X_Attempt_Id=None).read_answer()[0] == 400
+    assert send_request(harness, X_Attempt_Id=None).read_answer()[0] == 400
     assert harness.count_waiting() == 0
 
 
-def test_idle_connection_is_kept_for_the_whole_idle_time():
+def test_idle_connection_is_closed_after_the_idle_timeout():
     harness = ForwardingHarness()
     caller = harness.open_caller()
     harness.advance(0.9 * harness.state.limits.idle_timeout_s)
@@ -100,34 +100,36 @@
     assert caller.transport.is_closed
 
 
-def test_leaving_instance_closes_connections_after_their_answers():
+def test_leaving_instance_closes_connections_after_the_response():
     harness = ForwardingHarness()
     harness.gateway._leaving_since = harness.reactor.seconds()
-    caller = ask(harness, "/nothing/x")
+    caller = send_request(harness, "/nothing/x")
     _, headers, _, _ = caller.read_answer()
     assert headers["connection"] == "close"
     assert caller.transport.is_closed
 
 
-def test_leaving_instance_takes_streams_only_while_they_can_end():
+def test_leaving_instance_accepts_streams_only_while_they_can_complete():
     harness = ForwardingHarness()
     harness.gateway._leaving_since = harness.reactor.seconds()
-    ask(harness, "/stream/x")
+    send_request(harness, "/stream/x")
     assert harness.count_waiting() == 1
-    harness.advance(2.5)  # a quarter of the grace of 8 s is over
-    status, headers, _, _ = ask(harness, "/stream/x", request_id="r2").read_answer()
+    harness.advance(2.5)  # exceeds a quarter of the grace period of 8 s
+    status, headers, _, _ = send_request(
+        harness, "/stream/x", request_id="r2"
+    ).read_answer()
     assert status == 503
     assert float(headers["retry-after"]) == 0
 
 
-def test_leaving_instance_takes_short_requests_only_while_they_can_end():
-    # A request that came 7.65 s after the signal was cut when the process ended.
+def test_leaving_instance_accepts_calls_only_while_they_can_complete():
+    # A request accepted 7.65 s after the signal was aborted by the end of the process.
     harness = ForwardingHarness()
     harness.gateway._leaving_since = harness.reactor.seconds()
     harness.advance(6.5)
-    ask(harness)  # its route takes 0.8 s at most; the instance ends 7.4 s after
+    send_request(harness)  # its route timeout is 0.8 s; the instance stops after 7.4 s
     assert harness.count_waiting() == 1
     harness.advance(0.2)
-    status, headers, _, _ = ask(harness, request_id="r2").read_answer()
+    status, headers, _, _ = send_request(harness, request_id="r2").read_answer()
     assert status == 503
     assert float(headers["retry-after"]) == 0
--- a/tests/forwarding/test_earlier_runs.py
+++ b/tests/forwarding/test_earlier_runs.py
@@ -11,8 +11,8 @@
 from tests.forwarding.streaming import SIZE, open_stream, start
 
 
-def come_back(harness, position="2", **options):
-    """Let a caller ask again for a stream that it lost, with a new id."""
+def retry_stream(harness, position="2", **options):
+    """Retry a stream from a position with a new request id."""
     caller = harness.open_caller()
     headers = {**SIZE, "Last_Event_Id": position, **options}
     caller.request("/stream/x", "r2", **headers)
@@ -20,24 +20,24 @@
     return caller
 
 
-def test_caller_that_comes_back_gets_the_rest_from_the_copy_of_its_run():
+def test_retry_of_a_caller_resumes_from_the_copy_of_its_run():
     harness, caller = start()
     _, sent = open_stream(harness, 1, 2)
     caller.disconnect()
-    again = come_back(harness)
+    retry = retry_stream(harness)
     holder, head, _ = harness.take_request()
     assert holder.address == sent["x-kv-backup"]
     assert decode_headers(head)["kv-from"] == f"{holder.address}/r1"
     assert decode_headers(head)["last-event-id"] == "2"
     holder.receive(stream_head("r2") + chunk(event(2)) + chunk(event(3)) + STREAM_END)
-    assert again.read_answer()[2:] == (event(3), True)
+    assert retry.read_answer()[2:] == (event(3), True)
 
 
-def test_caller_that_comes_back_reads_its_prompt_again_if_the_copy_is_gone():
+def test_retry_prefills_the_prompt_if_the_copy_is_gone():
     harness, caller = start()
     open_stream(harness, 1, 2)
     caller.disconnect()
-    come_back(harness)
+    retry_stream(harness)
     holder, _, _ = harness.take_request()
     holder.receive(refusal("r2"))
     harness.advance(0.01)
@@ -46,19 +46,19 @@
     assert decode_headers(head)["last-event-id"] == "2"
 
 
-def test_another_prompt_does_not_go_on_from_the_copy():
+def test_retry_with_another_prompt_does_not_use_the_copy():
     harness, caller = start()
     open_stream(harness, 1, 2)
     caller.disconnect()
-    come_back(harness, X_Prompt_Prefix="aa:200,cc:7800")
+    retry_stream(harness, X_Prompt_Prefix="aa:200,cc:7800")
     _, head, _ = harness.take_request()
     assert "kv-from" not in decode_headers(head)
 
 
-def test_copy_of_a_complete_run_is_not_gone_on_from():
+def test_copy_of_a_completed_run_is_not_used():
     harness, _ = start()
     server, _ = open_stream(harness, 1, 2)
     server.receive(STREAM_END)
-    come_back(harness)
+    retry_stream(harness)
     _, head, _ = harness.take_request()
     assert "kv-from" not in decode_headers(head)
--- a/tests/forwarding/test_run_copies.py
+++ b/tests/forwarding/test_run_copies.py
@@ -24,23 +24,23 @@
     return harness, caller, server, by_address[sent["x-kv-backup"]]
 
 
-def go_on(harness, server, first, last):
+def send_events(harness, server, first, last):
     for number in range(first, last + 1):
         server.receive(chunk(event(number)))
         harness.advance(0.1)
 
 
-def test_no_copy_is_asked_for_while_the_first_one_is_there():
+def test_no_copy_is_requested_while_the_first_one_is_available():
     harness, _, server, _ = start()
-    go_on(harness, server, 2, 20)
-    assert harness.copier.asked == []
+    send_events(harness, server, 2, 20)
+    assert harness.copier.requested == []
 
 
-def test_lost_copy_is_replaced_and_used_when_the_run_is_lost_later():
+def test_lost_copy_is_replaced_and_used_after_loss_of_the_run():
     harness, caller, server, holder = start()
     harness.gateway._context.report_unreachable(holder)
-    go_on(harness, server, 2, 3)
-    source, request_id, target = harness.copier.asked[0]
+    send_events(harness, server, 2, 3)
+    source, request_id, target = harness.copier.requested[0]
     assert (source, request_id) == (server.address, "r1")
     assert target not in (server.address, holder.entry.address)
     server.reset()
@@ -53,23 +53,23 @@
     assert body == b"".join(event(number) for number in range(1, 5))
 
 
-def test_copy_that_was_asked_for_is_asked_for_again_to_stay():
+def test_requested_copy_is_refreshed_before_it_expires():
     harness, _, server, holder = start()
     harness.gateway._context.report_unreachable(holder)
-    go_on(harness, server, 2, 22)  # two seconds; copies stay for four
-    assert len(harness.copier.asked) == 2
-    assert harness.copier.asked[0] == harness.copier.asked[1]
+    send_events(harness, server, 2, 22)  # two seconds; copies expire after four
+    assert len(harness.copier.requested) == 2
+    assert harness.copier.requested[0] == harness.copier.requested[1]
 
 
-def test_holder_that_restarted_counts_as_lost():
+def test_copy_on_a_restarted_server_is_replaced():
     harness, _, server, holder = start()
     entry = holder.entry._replace(started_ms=99)
     harness.state.put_backend(entry)
-    go_on(harness, server, 2, 3)
-    assert harness.copier.asked
+    send_events(harness, server, 2, 3)
+    assert harness.copier.requested
 
 
-def test_neighbour_of_a_lost_server_is_checked_before_it_is_relied_on():
+def test_holder_is_probed_after_a_loss_in_its_data_centre():
     harness, _, server, holder = start()
     neighbour = next(
         each
@@ -78,36 +78,36 @@
     )
     harness.silent.add(holder.entry.address)
     harness.gateway._context.report_unreachable(neighbour)
-    go_on(harness, server, 2, 5)
-    assert harness.copier.asked
+    send_events(harness, server, 2, 5)
+    assert harness.copier.requested
 
 
-def test_refused_copies_are_tried_again_with_pauses():
+def test_refused_copy_is_retried_at_intervals():
     harness, _, server, holder = start()
     harness.copier.handle = None
     harness.gateway._context.report_unreachable(holder)
-    go_on(harness, server, 2, 17)
-    assert 2 <= len(harness.copier.asked) <= 4
+    send_events(harness, server, 2, 17)
+    assert 2 <= len(harness.copier.requested) <= 4
 
 
-def test_use_of_a_replaced_copy_is_given_back():
+def test_replaced_copy_is_released():
     harness, caller, server, holder = start()
     harness.gateway._context.report_unreachable(holder)
-    go_on(harness, server, 2, 3)
+    send_events(harness, server, 2, 3)
     assert holder.copy_tokens == 0
     caller.disconnect()
     assert all(each.copy_tokens == 0 for each in harness.state.backends)
 
 
-def test_copy_is_freed_at_the_end_and_kept_while_the_run_may_need_it():
+def test_copy_is_dropped_after_completion_and_kept_while_needed():
     harness, caller, server, holder = start()
     harness.gateway._context.report_unreachable(holder)
-    go_on(harness, server, 2, 3)
+    send_events(harness, server, 2, 3)
     server.reset()
     harness.advance(0.01)
     assert harness.copier.dropped == []
     harness, caller, server, holder = start()
     harness.gateway._context.report_unreachable(holder)
-    go_on(harness, server, 2, 3)
+    send_events(harness, server, 2, 3)
     server.receive(STREAM_END)
     assert harness.copier.dropped == [(server.address, "h-1")]
--- a/tests/forwarding/test_shared_copy_index.py
+++ b/tests/forwarding/test_shared_copy_index.py
@@ -6,7 +6,7 @@
 from ebonyhaven_node import Frame, FrameKind
 from ebonyhaven_node._frames import encode_frame
 from ebonyhaven_node.forwarding._shared_copy_index import (
-    ANSWER_TIMEOUT_S,
+    QUERY_TIMEOUT_S,
     SharedCopyIndex,
 )
 from twisted.internet.defer import ensureDeferred
@@ -22,20 +22,20 @@
 )
 from tests.forwarding.test_sharing import FakeChannels, FakeMembership, make_record
 
-PLACE = RunCopyLocation("e-1", "10.0.0.1:9001", "r1")
+LOCATION = RunCopyLocation("e-1", "10.0.0.1:9001", "r1")
 OTHERS = ("n2", "n3", "n4", "n5", "n6")
 
 
 class Network:
-    """Hands messages from one exchange to the others at once."""
+    """Delivers messages between the indexes synchronously."""
 
     def __init__(self):
         self.channels: dict[str, FakeChannels] = {}
 
-    def join(self, exchange, name, others) -> FakeMembership:
+    def join(self, index, name, others) -> FakeMembership:
         membership = NetworkMembership(self, name, others)
         self.channels[name] = FakeChannels()
-        exchange.connect(membership, self.channels[name])
+        index.connect(membership, self.channels[name])
         return membership
 
 
@@ -54,151 +54,153 @@
 
 
 def build(*names):
-    """Return connected exchanges by name, and their clock."""
+    """Return connected indexes by instance name, their network and their clock."""
     clock, network = Clock(), Network()
-    exchanges = {name: SharedCopyIndex(clock, clock.seconds) for name in names}
-    for name, exchange in exchanges.items():
-        network.join(exchange, name, [each for each in names if each != name])
-    return exchanges, network, clock
+    indexes = {name: SharedCopyIndex(clock, clock.seconds) for name in names}
+    for name, index in indexes.items():
+        network.join(index, name, [each for each in names if each != name])
+    return indexes, network, clock
 
 
-def ask(exchange, key):
+def start_lookup(index, key):
     found = []
-    ensureDeferred(exchange.find(key)).addCallback(found.append)
+    ensureDeferred(index.find(key)).addCallback(found.append)
     return found
 
 
-def test_every_instance_learns_where_the_copy_of_a_lost_instances_run_is():
-    exchanges, network, _ = build("n1", *OTHERS)
-    exchanges["n1"].tell("abc", PLACE)
+def test_location_is_found_on_all_instances_after_loss_of_its_publisher():
+    indexes, network, _ = build("n1", *OTHERS)
+    indexes["n1"].publish("abc", LOCATION)
     del network.channels["n1"]
-    assert [ask(exchanges[name], "abc") for name in OTHERS] == [[PLACE]] * 5
+    assert [start_lookup(indexes[name], "abc") for name in OTHERS] == [[LOCATION]] * 5
 
 
-def test_what_was_taken_back_is_found_nowhere():
-    exchanges, _, clock = build("n1", *OTHERS)
-    exchanges["n1"].tell("abc", PLACE)
-    exchanges["n1"].tell("abc", None)
-    answers = [ask(exchange, "abc") for exchange in exchanges.values()]
-    clock.advance(ANSWER_TIMEOUT_S)
-    assert answers == [[None]] * 6
+def test_withdrawn_location_is_not_found():
+    indexes, _, clock = build("n1", *OTHERS)
+    indexes["n1"].publish("abc", LOCATION)
+    indexes["n1"].publish("abc", None)
+    results = [start_lookup(index, "abc") for index in indexes.values()]
+    clock.advance(QUERY_TIMEOUT_S)
+    assert results == [[None]] * 6
 
 
-def test_a_complete_run_is_forgotten_without_a_message():
+def test_entry_is_removed_without_messages():
     clock = Clock()
-    exchange, network = SharedCopyIndex(clock, clock.seconds), Network()
-    membership = network.join(exchange, "n1", OTHERS)
-    exchange.tell("abc", PLACE)
+    index, network = SharedCopyIndex(clock, clock.seconds), Network()
+    membership = network.join(index, "n1", OTHERS)
+    index.publish("abc", LOCATION)
     count = len(membership.sent)
-    exchange.forget("abc")
+    index.remove("abc")
     assert len(membership.sent) == count
-    assert len(exchange._places) == 0
+    assert len(index._index) == 0
 
 
-def test_telling_of_runs_stays_within_its_share_of_control_traffic():
-    # At the size of the target a node starts 3.9 generations a second, and all
-    # control may take 2,000 bytes a second; less than two thirds of it are for this.
-    place = RunCopyLocation("i-0123456789", "10.33.164.138:18028", "0123456789abcdef")
-    frame = Frame(FrameKind.RUN_PLACE, "edge-sala-b-44", 44015126, ["0" * 16, place])
+def test_publishing_stays_within_its_share_of_control_traffic():
+    # At the target size, a node starts 3.9 generations per second. Control traffic is
+    # limited to 2,000 bytes per second, of which the index may use two thirds.
+    location = RunCopyLocation(
+        "i-0123456789", "10.33.164.138:18028", "0123456789abcdef"
+    )
+    frame = Frame(FrameKind.RUN_PLACE, "edge-sala-b-44", 44015126, ["0" * 16, location])
     assert 3.9 * INDEX_REPLICAS * len(encode_frame(frame)) <= 2000 * 2 / 3
 
 
-def test_a_question_without_an_answer_holds_a_caller_up_for_a_moment_only():
-    exchanges, network, clock = build("n1", *OTHERS)
+def test_unanswered_lookup_times_out():
+    indexes, network, clock = build("n1", *OTHERS)
     network.channels.clear()
-    found = ask(exchanges["n1"], "abc")
+    found = start_lookup(indexes["n1"], "abc")
     assert found == []
-    clock.advance(ANSWER_TIMEOUT_S)
+    clock.advance(QUERY_TIMEOUT_S)
     assert found == [None]
     assert clock.getDelayedCalls() == []
 
 
-def test_instances_that_are_known_to_be_dead_are_neither_told_nor_asked():
+def test_locations_are_not_sent_to_dead_instances():
     clock = Clock()
-    exchange, network = SharedCopyIndex(clock, clock.seconds), Network()
-    membership = network.join(exchange, "n1", OTHERS)
-    keepers = [
+    index, network = SharedCopyIndex(clock, clock.seconds), Network()
+    membership = network.join(index, "n1", OTHERS)
+    replicas = [
         name for name in choose_index_instances("abc", ("n1", *OTHERS)) if name != "n1"
     ]
     membership.members = [
-        each._replace(state=MemberState.DEAD) if each.name == keepers[0] else each
+        each._replace(state=MemberState.DEAD) if each.name == replicas[0] else each
         for each in membership.members
     ]
-    exchange.tell("abc", PLACE)
-    told = {name for name, _, _ in membership.sent}
-    assert keepers[0] not in told
-    assert len(told) >= len(keepers) - 1
+    index.publish("abc", LOCATION)
+    receivers = {name for name, _, _ in membership.sent}
+    assert replicas[0] not in receivers
+    assert len(receivers) >= len(replicas) - 1
 
 
-def test_an_instance_alone_knows_its_own_copies():
+def test_unconnected_index_finds_local_entries():
     clock = Clock()
-    exchange = SharedCopyIndex(clock, clock.seconds)
-    exchange.tell("abc", PLACE)
-    assert ask(exchange, "abc") == [PLACE]
-    assert ask(exchange, "other") == [None]
+    index = SharedCopyIndex(clock, clock.seconds)
+    index.publish("abc", LOCATION)
+    assert start_lookup(index, "abc") == [LOCATION]
+    assert start_lookup(index, "other") == [None]
 
 
-def test_malformed_news_are_not_taken_over():
-    exchanges, network, _ = build("n1", "n2")
-    receive = network.channels["n2"].handlers[FrameKind.RUN_PLACE]
+def test_malformed_messages_are_ignored():
+    indexes, network, _ = build("n1", "n2")
+    handle_location = network.channels["n2"].handlers[FrameKind.RUN_PLACE]
     for payload in ("nonsense", ["abc"], ["abc", ["e-1"]], 7):
-        receive(Frame(FrameKind.RUN_PLACE, "n1", 1, payload))
-    answer = network.channels["n2"].handlers[FrameKind.RUN_PLACE_REQUEST]
-    answer(Frame(FrameKind.RUN_PLACE_REQUEST, "n1", 1, ["abc"]))
-    assert len(exchanges["n2"]._places) == 0
+        handle_location(Frame(FrameKind.RUN_PLACE, "n1", 1, payload))
+    handle_query = network.channels["n2"].handlers[FrameKind.RUN_PLACE_REQUEST]
+    handle_query(Frame(FrameKind.RUN_PLACE_REQUEST, "n1", 1, ["abc"]))
+    assert len(indexes["n2"]._index) == 0
 
 
-STREAMS = 12
+STREAM_COUNT = 12
 
 
-def size_of(number) -> dict[str, str]:
+def make_size_headers(number) -> dict[str, str]:
     prompt = f"aa:200,b{number:x}:7800"
     return {"X_Token_Count": "8000,700", "X_Prompt_Prefix": prompt}
 
 
 def open_streams(harness, count) -> dict[str, str]:
-    """Give callers a stream with two events each; return the copies' places."""
-    places = {}
+    """Open streams with two events each; return the ``kv-from`` of their copies."""
+    references = {}
     for number in range(count):
         request_id = f"first-{number}"
         harness.open_caller().request(
-            f"/stream/{number}", request_id, **size_of(number)
+            f"/stream/{number}", request_id, **make_size_headers(number)
         )
         server, head, _ = harness.take_request()
         server.receive(stream_head(request_id) + chunk(event(1)) + chunk(event(2)))
         harness.advance(0.0)
-        places[str(number)] = f"{decode_headers(head)['x-kv-backup']}/{request_id}"
-    return places
+        references[str(number)] = f"{decode_headers(head)['x-kv-backup']}/{request_id}"
+    return references
 
 
-def test_all_callers_of_a_lost_instance_go_on_from_copies_at_once():
-    # Load: an instance is lost, and all callers of its streams come back elsewhere
-    # within a tenth of a second. Prompts that are read again together made them,
-    # and the new streams beside them, late by seconds.
-    lost, left, network = (
+def test_all_callers_of_a_lost_instance_resume_from_copies():
+    # After the loss of an instance, all its callers retry at another one within a
+    # tenth of a second. Prefilling their prompts again at the same time delayed these
+    # streams, and the new ones, by seconds.
+    lost, remaining, network = (
         ForwardingHarness(engines=9),
         ForwardingHarness(engines=9),
         Network(),
     )
     network.join(lost.gateway._copy_index, "n1", ["n2"])
-    network.join(left.gateway._copy_index, "n2", ["n1"])
-    places = open_streams(lost, STREAMS)
+    network.join(remaining.gateway._copy_index, "n2", ["n1"])
+    references = open_streams(lost, STREAM_COUNT)
     del network.channels["n1"]
     callers = []
-    for number in range(STREAMS):
-        caller = left.open_caller()
-        headers = {**size_of(number), "Last_Event_Id": "2"}
+    for number in range(STREAM_COUNT):
+        caller = remaining.open_caller()
+        headers = {**make_size_headers(number), "Last_Event_Id": "2"}
         caller.request(f"/stream/{number}", f"second-{number}", **headers)
         callers.append(caller)
-    left.advance(0.01)
-    waiting = [each for each in left.connections if each.has_request()]
-    assert len(waiting) == STREAMS
+    remaining.advance(0.01)
+    waiting = [each for each in remaining.connections if each.has_request()]
+    assert len(waiting) == STREAM_COUNT
     for server in waiting:
         head, _ = server.read_request()
         sent = decode_headers(head)
         number = head.target.decode().rpartition("/")[2]
-        assert sent["kv-from"] == places[number]
+        assert sent["kv-from"] == references[number]
         assert sent["kv-from"].startswith(server.address)
         request_id = sent["x-attempt-id"]
         server.receive(stream_head(request_id) + chunk(event(3)) + STREAM_END)
-    assert [each.read_answer()[2] for each in callers] == [event(3)] * STREAMS
+    assert [each.read_answer()[2] for each in callers] == [event(3)] * STREAM_COUNT
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -15,15 +15,15 @@
 from tests.forwarding.streaming import SIZE, open_stream, read_body, start
 
 
-def test_events_pass_as_they_arrive_and_the_end_is_the_servers_end():
+def test_events_are_relayed_as_they_arrive_until_the_stream_ends():
     harness, caller = start()
     server, sent = open_stream(harness, 1)
     assert sent["x-token-count"] == "8000,700"
     assert sent["x-prompt-prefix"] == "aa:200,bb:7800"
     assert read_body(caller) == event(1)
     server.receive(chunk(event(2)) + STREAM_END)
-    status, _, body, is_whole = caller.read_answer()
-    assert (status, body, is_whole) == (200, event(1) + event(2), True)
+    status, _, body, is_complete = caller.read_answer()
+    assert (status, body, is_complete) == (200, event(1) + event(2), True)
 
 
 def test_each_run_has_a_copy_in_another_data_centre():
@@ -34,30 +34,31 @@
     assert by_address[sent["x-kv-backup"]].data_centre != source.data_centre
 
 
-def test_lost_stream_goes_on_from_its_copy_without_a_gap_or_a_repeat():
+def test_lost_stream_resumes_from_its_copy_without_missing_or_repeated_events():
     harness, caller = start()
     server, sent = open_stream(harness, 1, 2)
-    half = event(3)[:7]
-    server.receive(chunk(half))
+    partial_event = event(3)[:7]
+    server.receive(chunk(partial_event))
     server.reset()
     harness.advance(0.01)
     second, head, _ = harness.take_request()
-    again = decode_headers(head)
+    resumed_headers = decode_headers(head)
     assert second.address == sent["x-kv-backup"]
-    assert again["kv-from"] == f"{second.address}/r1"
-    assert again["last-event-id"] == "2"
+    assert resumed_headers["kv-from"] == f"{second.address}/r1"
+    assert resumed_headers["last-event-id"] == "2"
     second.receive(stream_head("r1", "stamp-2"))
-    for number in (2, 3, 4):  # the second was delivered before
+    for number in (2, 3, 4):  # event 2 was delivered before
         second.receive(chunk(event(number)))
     second.receive(STREAM_END)
-    _, headers, body, is_whole = caller.read_answer()
+    _, headers, body, is_complete = caller.read_answer()
     assert body == event(1) + event(2) + event(3) + event(4)
-    assert is_whole
+    assert is_complete
     assert headers["x-server-stamp"] == "stamp-1"
 
 
-def test_run_without_an_event_does_not_ask_for_its_copy():
-    # Engines copy nothing before the first event; asking queued behind other prompts.
+def test_run_without_events_does_not_resume_from_a_copy():
+    # Engines create no copy before the first event, so an attempt to resume from one
+    # only waits behind other prompts.
     harness, _ = start()
     server, _ = open_stream(harness)
     server.reset()
@@ -66,7 +67,7 @@
     assert "kv-from" not in decode_headers(head)
 
 
-def test_copy_that_is_gone_leads_to_a_fresh_prompt():
+def test_missing_copy_falls_back_to_a_new_prefill():
     harness, caller = start()
     server, _ = open_stream(harness, 1)
     server.reset()
@@ -82,12 +83,12 @@
     assert read_body(caller) == event(1) + event(2)
 
 
-def test_silent_stream_with_a_copy_goes_on_within_the_allowed_pause():
+def test_silent_stream_with_a_copy_resumes_within_the_gap_target():
     harness, caller = start()
     first, sent = open_stream(harness, 1)
     harness.advance(0.34)
     assert harness.count_waiting() == 0
-    harness.advance(0.03)  # over half of the longest pause of 0.7 s
+    harness.advance(0.03)  # exceeds half of the gap target of 0.7 s
     second, _, _ = harness.take_request()
     assert second.address == sent["x-kv-backup"]
     assert first.is_closed
@@ -95,8 +96,8 @@
     assert read_body(caller) == event(1) + event(2)
 
 
-def test_slow_prompt_on_a_live_server_is_waited_for():
-    # A limit of 2.7 s once made streams leave engines that read two prompts.
+def test_slow_prefill_on_a_live_server_is_not_aborted():
+    # A silence limit of 2.7 s aborted streams on engines that prefilled two prompts.
     harness, caller = start()
     server, _, _ = harness.take_request()
     harness.advance(2.0)
@@ -106,17 +107,17 @@
     assert read_body(caller) == event(1)
 
 
-def test_server_that_accepts_no_connection_is_left_before_its_first_event():
+def test_unreachable_server_is_abandoned_before_its_first_event():
     harness, _ = start()
     first, _, _ = harness.take_request()
     harness.silent.add(first.address)
-    harness.advance(1.7)  # 0.3 of the target of 4.5 s, and the check
+    harness.advance(1.7)  # 0.3 of the target of 4.5 s, plus the probe
     assert first.is_closed
     second, _, _ = harness.take_request()
     assert second.address != first.address
 
 
-def test_loss_of_a_neighbour_lets_a_waiting_stream_check_its_server():
+def test_loss_in_a_data_centre_triggers_probes_of_its_other_servers():
     harness = ForwardingHarness(engines=6)
     callers = []
     servers = {}
@@ -138,16 +139,16 @@
     assert not servers["e-1"][1].is_closed
 
 
-def test_loss_told_by_another_instance_is_believed_only_without_own_signs():
+def test_loss_reported_by_a_peer_is_ignored_for_a_recently_active_server():
     harness, _ = start()
     server, sent = open_stream(harness, 1)
     backend = harness.state.backends.find(sent["x-expect-instance"])
     harness.gateway._context.report_unreachable(backend, is_from_peer=True)
     harness.advance(0.1)
-    assert not server.is_closed  # it was heard less than 0.2 s ago
+    assert not server.is_closed  # its last data is less than 0.2 s old
 
 
-def test_stream_that_may_not_be_resumed_is_cut_visibly():
+def test_stream_on_a_non_resumable_route_is_aborted():
     harness, caller = start("/fixed/x")
     server, _ = open_stream(harness, 1)
     server.reset()
@@ -157,7 +158,7 @@
     assert not caller.read_answer()[3]
 
 
-def test_other_process_at_the_address_is_left_at_once():
+def test_response_of_another_process_is_retried_on_another_server():
     harness, _ = start()
     server, _, _ = harness.take_request()
     server.receive(answer("r1", b"", 421, X_Server_Stamp=None))
@@ -166,7 +167,7 @@
     assert second.address != server.address
 
 
-def test_servers_failure_before_the_first_event_is_tried_elsewhere():
+def test_server_error_before_the_first_event_is_retried():
     harness, caller = start()
     server, _, _ = harness.take_request()
     server.receive(answer("r1", b"broken", 500))
@@ -175,7 +176,7 @@
     assert read_body(caller) == event(1)
 
 
-def test_refusal_by_the_server_that_concerns_the_request_is_passed_on():
+def test_client_error_of_a_server_is_forwarded():
     harness, caller = start()
     server, _, _ = harness.take_request()
     server.receive(answer("r1", b"too long", 400))
@@ -183,7 +184,7 @@
     assert caller.read_answer()[:3:2] == (400, b"too long")
 
 
-def test_time_of_the_route_cuts_a_stream():
+def test_stream_is_aborted_at_its_deadline():
     harness, caller = start(X_Deadline_Ms="3000")
     server, _ = open_stream(harness, 1)
     for number in range(2, 12):
@@ -194,14 +195,14 @@
     assert server.is_closed
 
 
-def test_caller_that_leaves_stops_the_engine():
+def test_disconnected_caller_closes_the_server_connection():
     harness, caller = start()
     server, _ = open_stream(harness, 1)
     caller.disconnect()
     assert server.is_closed
 
 
-def test_callers_own_position_is_kept_on_the_first_attempt():
+def test_last_event_id_of_the_caller_is_sent_with_the_first_attempt():
     harness, caller = start(Last_Event_Id="7")
     server, sent = open_stream(harness)
     assert sent["last-event-id"] == "7"
@@ -209,11 +210,11 @@
     assert read_body(caller) == event(8)
 
 
-def test_a_stream_waits_for_room_and_takes_it_when_it_comes():
+def test_stream_waits_until_an_engine_has_capacity():
     harness, _ = start(engines=1, X_Token_Count="60000,700")
     first, _, _ = harness.take_request()
     caller = harness.open_caller()
-    caller.request("/stream/x", request_id="r2", **{**SIZE, **BIG})
+    caller.request("/stream/x", request_id="r2", **{**SIZE, **MOST_MEMORY})
     harness.advance(0.5)
     assert harness.count_waiting() == 0
     first.receive(stream_head("r1") + chunk(event(1)) + STREAM_END)
@@ -221,11 +222,11 @@
     assert harness.count_waiting() == 1
 
 
-def test_a_stream_without_room_is_refused_while_its_caller_can_still_come_back():
+def test_stream_without_capacity_is_refused_in_time_for_a_retry():
     harness, _ = start(engines=1, X_Token_Count="60000,700", X_Deadline_Ms="25000")
     server, _ = open_stream(harness, 1)
     caller = harness.open_caller()
-    caller.request("/stream/x", request_id="r2", **{**SIZE, **HALF})
+    caller.request("/stream/x", request_id="r2", **{**SIZE, **HALF_MEMORY})
     for number in range(2, 96):
         harness.advance(0.2)
         server.receive(chunk(event(number)))
@@ -234,11 +235,11 @@
     assert "retry-after" in headers
 
 
-HALF = {"X_Token_Count": "30000,700"}
-BIG = {"X_Token_Count": "60000,700"}
+HALF_MEMORY = {"X_Token_Count": "30000,700"}
+MOST_MEMORY = {"X_Token_Count": "60000,700"}
 
 
-def test_refused_connections_spend_no_repeat_of_a_stream():
+def test_refused_connections_do_not_use_the_retry_budget():
     harness = ForwardingHarness(engines=6)
     for number in range(5):
         harness.refused.add(harness.find_address(f"e-{number}"))
@@ -251,7 +252,7 @@
     assert sum(each.retries for each in budget._counts["engines"]) == 0
 
 
-def test_a_release_of_everything_leaves_no_use_behind():
+def test_completed_stream_releases_all_reservations():
     harness, _ = start()
     server, _ = open_stream(harness, 1)
     server.receive(STREAM_END)
@@ -261,7 +262,7 @@
         assert each.prefill_tokens == 0
 
 
-def test_copy_whose_holder_died_is_not_tried_again():
+def test_copy_on_a_lost_server_is_not_used_again():
     harness, _ = start(engines=6)
     server, _ = open_stream(harness, 1)
     server.reset()
@@ -274,7 +275,7 @@
     assert "kv-from" not in decode_headers(head)
 
 
-def test_status_that_reads_as_a_promise_is_not_passed_on_after_a_run():
+def test_status_that_implies_not_run_is_not_forwarded_after_a_run():
     harness, caller = start("/fixed/x")
     server, _, _ = harness.take_request()
     server.receive(answer("r1", b"busy", 429))
@@ -282,7 +283,7 @@
     assert caller.read_answer()[0] == 502
 
 
-def test_server_that_gets_no_new_work_is_told_of_once():
+def test_suspected_server_is_logged_once():
     harness, _ = start()
     server, sent = open_stream(harness, 1)
     harness.refused.add(server.address)
@@ -291,8 +292,8 @@
         for _ in range(3):
             lost = harness.state.backends.find(sent["x-expect-instance"])
             harness.gateway._context.report_unreachable(lost)
-    told = [line for line in lines if line["event"] == "backend_suspected"]
-    assert len(told) == 1
-    assert told[0]["server"] == sent["x-expect-instance"]
-    assert told[0]["found_by"] == "this instance"
-    assert told[0]["silent_s"] is not None
+    logged = [line for line in lines if line["event"] == "backend_suspected"]
+    assert len(logged) == 1
+    assert logged[0]["server"] == sent["x-expect-instance"]
+    assert logged[0]["found_by"] == "this instance"
+    assert logged[0]["silent_s"] is not None
