--- a/packages/node/src/ebonyhaven_node/forwarding/__init__.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/__init__.py
@@ -7,34 +7,34 @@
 from ebonyhaven_node._failures import refuse
 from ebonyhaven_node.forwarding._connection_pool import ConnectionPool
 from ebonyhaven_node.forwarding._gateway import Gateway, GatewaySettings
-from ebonyhaven_node.forwarding._http_client import OutgoingRequest, RequestBytes
+from ebonyhaven_node.forwarding._http_client import HttpRequest, ResponseHandler
 from ebonyhaven_node.forwarding._http_server import CallerServer, Exchange
 from ebonyhaven_node.forwarding._messages import (
-    AnswerHead,
     AttemptPlan,
-    CopyPlace,
+    CopyReference,
     ForwardRequest,
+    GenerationSize,
     Headers,
-    PromptSize,
     RequestHead,
+    ResponseHead,
 )
 from ebonyhaven_node.forwarding._state import ForwardingState
 
 __all__ = [
-    "AnswerHead",
+    "ResponseHead",
     "AttemptPlan",
     "CallerServer",
     "ConnectionPool",
-    "CopyPlace",
+    "CopyReference",
     "Exchange",
     "ForwardRequest",
     "ForwardingState",
     "Gateway",
     "GatewaySettings",
     "Headers",
-    "OutgoingRequest",
-    "PromptSize",
-    "RequestBytes",
+    "ResponseHandler",
+    "GenerationSize",
+    "HttpRequest",
     "RequestHead",
     "refuse",
 ]
--- a/packages/node/src/ebonyhaven_node/forwarding/_attempt_monitors.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempt_monitors.py
@@ -16,7 +16,7 @@
 from ebonyhaven_node.forwarding._attempts import Attempt
 from ebonyhaven_node.forwarding._context import SILENT_SERVER_S, RelayContext
 from ebonyhaven_node.forwarding._events import EventSplitter
-from ebonyhaven_node.forwarding._messages import AnswerHead
+from ebonyhaven_node.forwarding._messages import ResponseHead
 from ebonyhaven_node.forwarding._reservations import EngineReservation
 
 
@@ -32,7 +32,7 @@
 
     Attributes
     ----------
-    head : AnswerHead or None
+    head : ResponseHead or None
         None until the head arrived.
     events : int
         Events received in this attempt.
@@ -73,7 +73,7 @@
         self._route = route
         self._context = context
         self._reservation = reservation
-        self.head: AnswerHead | None = None
+        self.head: ResponseHead | None = None
         self.last_received_at = self.started_at = context.clock()
         self.probed_at = -math.inf
         self.longest_gap_s = 0.0
@@ -83,12 +83,12 @@
         self.splitter = EventSplitter()
         self.error_body: list[bytes] = []
 
-    def record_head(self, head: AnswerHead) -> None:
+    def record_head(self, head: ResponseHead) -> None:
         """Record the head of the response.
 
         Parameters
         ----------
-        head : AnswerHead
+        head : ResponseHead
         """
         self.head = head
         self.last_received_at = self._context.clock()
@@ -96,7 +96,9 @@
     def is_event_stream(self) -> bool:
         """Return whether the response is a stream with proof of its origin."""
         head = self.head
-        return head.status == 200 and head.has_proof and head.request_id is not None
+        return (
+            head.status == 200 and head.has_origin_proof and head.request_id is not None
+        )
 
     def record_events(self, now: float, count: int) -> None:
         """Record that events arrived.
--- a/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
@@ -8,23 +8,23 @@
 from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._http_client import (
     HttpConnection,
-    OutgoingRequest,
-    RequestBytes,
+    HttpRequest,
+    ResponseHandler,
 )
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
-    AnswerData,
-    AnswerEnded,
-    AnswerHead,
-    AnswerStarted,
     AttemptFailed,
     AttemptPlan,
     ForwardRequest,
     Headers,
+    ResponseCompleted,
+    ResponseData,
+    ResponseHead,
+    ResponseStarted,
 )
 
 
-class Attempt(OutgoingRequest):
+class Attempt(ResponseHandler):
     """Sends a request to a backend server and reports what comes back.
 
     Parameters
@@ -33,7 +33,7 @@
     backend : Backend
     plan : AttemptPlan
     inbox : Inbox
-        Gets `AnswerStarted`, `AnswerData`, and then either `AnswerEnded` or
+        Gets `ResponseStarted`, `ResponseData`, and then either `ResponseCompleted` or
         `AttemptFailed`.
     context : RelayContext
 
@@ -55,7 +55,7 @@
         context: RelayContext,
     ):
         self.backend = backend
-        self.head: AnswerHead | None = None
+        self.head: ResponseHead | None = None
         self.was_sent = False
         self.is_over = False
         self.sent_at = 0.0
@@ -71,12 +71,12 @@
         self.backend.in_flight += 1
         self.sent_at = self._context.clock()
         address = self.backend.entry.address
-        connection = self._context.pool.take_idle(address)
+        connection = self._context.pool.acquire_idle(address)
         if connection is not None:
             self._send(connection)
             return
         self._pending = self._context.pool.connect(
-            address, on_made=self._send, on_failed=self._fail_to_connect
+            address, on_connected=self._send, on_failed=self._fail_to_connect
         )
 
     def cancel(self) -> None:
@@ -90,7 +90,7 @@
             self._connection.abort()
 
     def accept_head(self, status: int, headers: Headers) -> bool:
-        """See `OutgoingRequest.accept_head`."""
+        """See `ResponseHandler.accept_head`."""
         head = self._context.dialect.read_head(status, headers)
         if head.request_id is not None and head.request_id != self._request.request_id:
             return False
@@ -99,23 +99,23 @@
         if head.load is not None:
             self.backend.record_load(head.load, now)
         self.head = head
-        self._inbox.put(AnswerStarted(self, head))
+        self._inbox.put(ResponseStarted(self, head))
         return True
 
-    def take_data(self, data: bytes) -> None:
-        """See `OutgoingRequest.take_data`."""
+    def handle_data(self, data: bytes) -> None:
+        """See `ResponseHandler.handle_data`."""
         self.backend.last_received_at = self._context.clock()
         if not self.is_over:
-            self._inbox.put(AnswerData(self, data))
+            self._inbox.put(ResponseData(self, data))
 
-    def end(self) -> None:
-        """See `OutgoingRequest.end`."""
+    def complete(self) -> None:
+        """See `ResponseHandler.complete`."""
         if not self.is_over:
             self._finish()
-            self._inbox.put(AnswerEnded(self))
+            self._inbox.put(ResponseCompleted(self))
 
     def fail(self, reason: str, *, is_reset: bool) -> None:
-        """See `OutgoingRequest.fail`."""
+        """See `ResponseHandler.fail`."""
         if self.is_over:
             return
         self._finish()
@@ -132,7 +132,7 @@
         headers = self._context.dialect.write_headers(
             self._request, self.backend.server_id, self.plan
         )
-        sent = RequestBytes(
+        sent = HttpRequest(
             method=self._request.method,
             target=self._request.target,
             headers=headers,
--- a/packages/node/src/ebonyhaven_node/forwarding/_calls.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_calls.py
@@ -16,17 +16,17 @@
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
-    AnswerData,
-    AnswerEnded,
-    AnswerHead,
-    AnswerStarted,
     AttemptFailed,
     AttemptPlan,
     ForwardRequest,
+    ResponseCompleted,
+    ResponseData,
+    ResponseHead,
+    ResponseStarted,
 )
 from ebonyhaven_node.forwarding._outcomes import (
-    NO_SERVER_RETRY_S,
-    PROMISING_STATUSES,
+    NO_SERVER_RETRY_AFTER_S,
+    NOT_RUN_STATUSES,
 )
 
 HEDGE_SHARE = 0.5  # of the target latency: a second try still has the other half
@@ -39,7 +39,7 @@
 
 @attrs.define(slots=True, eq=False)
 class _Answer:
-    head: AnswerHead
+    head: ResponseHead
     body: list[bytes]
     size: int = 0
 
@@ -77,7 +77,7 @@
         self._attempts: list[Attempt] = []
         self._running: list[Attempt] = []
         self._answers: dict[Attempt, _Answer] = {}
-        self._failed_answer: tuple[AnswerHead, bytes] | None = None
+        self._failed_answer: tuple[ResponseHead, bytes] | None = None
         self._ran = 0
         self._arrivals = 0
         self._is_budget_spent = False
@@ -149,7 +149,7 @@
                 f"no server took the request: {self._last_reason}",
                 step="route",
                 peer=self._last_peer,
-                retry_after_s=NO_SERVER_RETRY_S,
+                retry_after_s=NO_SERVER_RETRY_AFTER_S,
             )
 
     def _may_pass_on_failure(self) -> bool:
@@ -157,7 +157,7 @@
 
         Callers take some statuses as proof that nothing ran.
         """
-        return self._failed_answer[0].status not in PROMISING_STATUSES
+        return self._failed_answer[0].status not in NOT_RUN_STATUSES
 
     def _next_timeout(self, now: float) -> float:
         until = self._deadline
@@ -237,11 +237,11 @@
 
     def _take(self, message: object) -> None:
         match message:
-            case AnswerStarted(attempt, head):
+            case ResponseStarted(attempt, head):
                 self._answers[attempt] = _Answer(head, [])
-            case AnswerData(attempt, data):
+            case ResponseData(attempt, data):
                 self._collect(attempt, data)
-            case AnswerEnded(attempt):
+            case ResponseCompleted(attempt):
                 self._running.remove(attempt)
                 self._end_attempt(attempt)
             case AttemptFailed(attempt, was_sent, _, reason):
@@ -263,13 +263,13 @@
         latency_s = self._context.clock() - attempt.sent_at
         if head.not_run:
             if head.is_other_process:
-                self._context.report_replaced(attempt.backend, head.other_server)
+                self._context.report_replaced(attempt.backend, head.other_server_id)
             self._refusals += 1
             self._barred.add(attempt.backend.key)
             self._note(attempt, f"server refused with {head.status}")
             self._count("refused")
             return
-        is_good = head.status < 500 and head.has_proof
+        is_good = head.status < 500 and head.has_origin_proof
         attempt.backend.record_result(succeeded=is_good, latency_s=latency_s)
         body = b"".join(answer.body)
         if is_good and head.request_id is not None:
@@ -280,7 +280,7 @@
         self._count("error")
         self._barred.add(attempt.backend.key)
         self._note(attempt, f"server answered with {head.status}")
-        if head.has_proof and head.request_id is not None:
+        if head.has_origin_proof and head.request_id is not None:
             self._failed_answer = (head, body)
 
     def _fail_attempt(self, attempt: Attempt, was_sent: bool, reason: str) -> None:
@@ -311,7 +311,7 @@
     def _count(self, end: str) -> None:
         self._context.metrics.attempts.labels(self._route.kind.value, end).inc()
 
-    def _deliver(self, head: AnswerHead, body: bytes) -> None:
+    def _deliver(self, head: ResponseHead, body: bytes) -> None:
         elapsed_s = self._context.clock() - self._request.arrived_at
         self._context.metrics.latency.labels(self._route.kind.value).observe(elapsed_s)
         self._exchange.respond(head.status, head.headers, body)
@@ -329,7 +329,7 @@
         return refuse(
             "no server could be reached in time",
             step="route",
-            retry_after_s=NO_SERVER_RETRY_S,
+            retry_after_s=NO_SERVER_RETRY_AFTER_S,
         )
 
     def _suspect_if_silent(self, attempt: Attempt) -> None:
--- a/packages/node/src/ebonyhaven_node/forwarding/_connection_pool.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_connection_pool.py
@@ -24,11 +24,11 @@
         self,
         connection: HttpConnection,
         *,
-        on_made: Callable[[HttpConnection], None],
+        on_connected: Callable[[HttpConnection], None],
         on_failed: Callable[[str], None],
     ):
         self._connection = connection
-        self._on_made = on_made
+        self._on_made = on_connected
         self._on_failed = on_failed
 
     def buildProtocol(self, address: object) -> HttpConnection:  # noqa: N802 the same
@@ -44,12 +44,12 @@
 class _MadeConnection(HttpConnection):
     """Tells once that it is made."""
 
-    on_made: Callable[[HttpConnection], None]
+    on_connected: Callable[[HttpConnection], None]
 
     def connectionMade(self) -> None:  # noqa: N802 the same
         """See `HttpConnection.connectionMade`."""
         super().connectionMade()
-        self.on_made(self)
+        self.on_connected(self)
 
 
 class PendingConnection:
@@ -94,7 +94,7 @@
         self._clock = clock
         self._idle: dict[str, list[HttpConnection]] = {}
         self._open: dict[str, int] = {}
-        self.opened = 0
+        self.opened_count = 0
 
     def count_open(self, address: str) -> int:
         """Return the connections to an address, busy and idle.
@@ -105,7 +105,7 @@
         """
         return self._open.get(address, 0)
 
-    def take_idle(self, address: str) -> HttpConnection | None:
+    def acquire_idle(self, address: str) -> HttpConnection | None:
         """Return a connection that can be used at once.
 
         Parameters
@@ -129,7 +129,7 @@
         self,
         address: str,
         *,
-        on_made: Callable[[HttpConnection], None],
+        on_connected: Callable[[HttpConnection], None],
         on_failed: Callable[[str], None],
         timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> PendingConnection:
@@ -139,7 +139,7 @@
         ----------
         address : str
             ``IP:PORT``.
-        on_made : callable
+        on_connected : callable
             Called with the connection.
         on_failed : callable
             Called with the reason when there will be none.
@@ -158,9 +158,9 @@
 
         def hand_over(made: HttpConnection) -> None:
             self._open[address] = self._open.get(address, 0) + 1
-            self.opened += 1
+            self.opened_count += 1
             if pending.finish():
-                on_made(made)
+                on_connected(made)
             else:
                 made.abort()
 
@@ -168,15 +168,15 @@
             if pending.finish():
                 on_failed(reason)
 
-        connection.on_made = hand_over
-        factory = _Connecting(connection, on_made=hand_over, on_failed=give_up)
+        connection.on_connected = hand_over
+        factory = _Connecting(connection, on_connected=hand_over, on_failed=give_up)
         host, _, port = address.rpartition(":")
         pending.start(
             self._reactor.connectTCP(host, int(port), factory, timeout=timeout_s)
         )
         return pending
 
-    def try_connect(
+    def probe_address(
         self, address: str, *, on_result: Callable[[bool], None], timeout_s: float
     ) -> None:
         """Try whether a server accepts connections; a new one is kept for use.
@@ -197,7 +197,7 @@
 
         self.connect(
             address,
-            on_made=keep,
+            on_connected=keep,
             on_failed=lambda _: on_result(False),
             timeout_s=timeout_s,
         )
@@ -212,7 +212,7 @@
         for connection in self._idle.pop(address, []):
             connection.abort()
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close idle connections that cannot be used any more."""
         now = self._clock()
         for address, connections in list(self._idle.items()):
--- a/packages/node/src/ebonyhaven_node/forwarding/_context.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_context.py
@@ -22,9 +22,9 @@
 from ebonyhaven_node.forwarding._connection_pool import ConnectionPool
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
-    BackendChecked,
-    BackendsChanged,
+    BackendProbed,
     BackendSuspected,
+    CapacityChanged,
     ForwardRequest,
 )
 from ebonyhaven_node.forwarding._metrics import ForwardingMetrics
@@ -96,7 +96,7 @@
         Parameters
         ----------
         inbox : Inbox
-            Receives `BackendsChanged`.
+            Receives `CapacityChanged`.
         """
         self._inboxes[inbox] = None
 
@@ -112,7 +112,7 @@
     def notify(self) -> None:
         """Notify all subscribers in the order of their subscription."""
         for inbox in list(self._inboxes):
-            inbox.put(BackendsChanged())
+            inbox.put(CapacityChanged())
 
 
 @attrs.frozen(slots=True, kw_only=True)
@@ -246,12 +246,15 @@
                 return
             self.report_unreachable(backend)
             self.reactor.callLater(
-                DATA_CENTRE_CHECK_DELAY_S, self._record_crash, request.content, backend
+                DATA_CENTRE_CHECK_DELAY_S,
+                self._record_crash,
+                request.content_digest,
+                backend,
             )
 
         self.reactor.callLater(
             CRASH_CONFIRMATION_DELAY_S,
-            self.pool.try_connect,
+            self.pool.probe_address,
             backend.entry.address,
             on_result=handle_probe,
             timeout_s=PROBE_TIMEOUT_S,
@@ -271,12 +274,12 @@
         ----------
         backend : Backend
         inbox : Inbox
-            Receives `BackendChecked`.
+            Receives `BackendProbed`.
         """
 
         def report(is_alive: bool) -> None:
-            inbox.put(BackendChecked(backend.key, is_alive))
+            inbox.put(BackendProbed(backend.key, is_alive))
 
-        self.pool.try_connect(
+        self.pool.probe_address(
             backend.entry.address, on_result=report, timeout_s=PROBE_TIMEOUT_S
         )
--- a/packages/node/src/ebonyhaven_node/forwarding/_earlier_runs.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_earlier_runs.py
@@ -6,7 +6,7 @@
 from ebonyhaven_decisions.forwarding import Backend, Route, RunCopyLocation
 
 from ebonyhaven_node.forwarding._context import RelayContext
-from ebonyhaven_node.forwarding._messages import CopyPlace, ForwardRequest
+from ebonyhaven_node.forwarding._messages import CopyReference, ForwardRequest
 
 _log = structlog.get_logger()
 
@@ -50,7 +50,7 @@
             copy=location.handle if location else None,
         )
 
-    def take_copy(self, now: float) -> tuple[Backend, CopyPlace] | None:
+    def take_copy(self, now: float) -> tuple[Backend, CopyReference] | None:
         """Return the holder and the copy if usable; at most once.
 
         Parameters
@@ -60,7 +60,7 @@
 
         Returns
         -------
-        tuple of (Backend, CopyPlace) or None
+        tuple of (Backend, CopyReference) or None
         """
         location, self._location = self._location, None
         if location is None:
@@ -68,4 +68,4 @@
         holder = self._context.state.backends.find(location.holder_id)
         if holder is None or not holder.can_resume_from_copy(now):
             return None
-        return holder, CopyPlace(location.address, location.handle)
+        return holder, CopyReference(location.address, location.handle)
--- a/packages/node/src/ebonyhaven_node/forwarding/_filters.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_filters.py
@@ -25,8 +25,8 @@
 from ebonyhaven_node.forwarding._messages import ForwardRequest
 from ebonyhaven_node.forwarding._metrics import ForwardingMetrics
 from ebonyhaven_node.forwarding._outcomes import (
-    LEAVING_RETRY_S,
-    NOT_READY_RETRY_S,
+    LEAVING_RETRY_AFTER_S,
+    NOT_READY_RETRY_AFTER_S,
 )
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding._streams import StreamRelay
@@ -147,7 +147,7 @@
             raise refuse(
                 "no configuration is in force yet",
                 step="configuration",
-                retry_after_s=NOT_READY_RETRY_S,
+                retry_after_s=NOT_READY_RETRY_AFTER_S,
             )
         work.configuration = self._state.configuration
         request = work.request
@@ -183,7 +183,7 @@
 
     async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
         """See `Filter.handle`."""
-        verdict = self._crashes.judge(work.request.content)
+        verdict = self._crashes.judge(work.request.content_digest)
         if verdict is CrashVerdict.STOPPED:
             raise refuse("servers died each time they began this content", step="crash")
         await proceed(work)
@@ -207,7 +207,7 @@
             raise refuse(
                 "this instance is leaving; use another",
                 step="admit",
-                retry_after_s=LEAVING_RETRY_S,
+                retry_after_s=LEAVING_RETRY_AFTER_S,
             )
         await proceed(work)
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -162,7 +162,7 @@
             count_backends=lambda: sum(1 for _ in self.state.backends),
             count_suspects=self._count_suspects,
             is_behind=self.source.is_behind,
-            count_connections=lambda: self.pool.opened,
+            count_connections=lambda: self.pool.opened_count,
         )
         self._peers = PeerEngineUse(ttl_s=3 * REFRESH_S)
         self._capacity_notifier = CapacityNotifier()
@@ -252,7 +252,7 @@
         return sum(now < each.suspect_until for each in self.state.backends)
 
     def _sweep(self) -> None:
-        self.pool.sweep()
+        self.pool.close_expired()
         self._adoption.review()
         if self._losses is not None:
             self._losses.drain()
@@ -367,7 +367,7 @@
     def _handle(self, exchange: Exchange) -> None:
         self._active += 1
         running = ensureDeferred(self._chain(Work(exchange)))
-        exchange.on_gone = running.cancel
+        exchange.on_disconnect = running.cancel
         running.addBoth(self._finish, exchange)
 
     def _finish(self, result: object, exchange: Exchange) -> None:
--- a/packages/node/src/ebonyhaven_node/forwarding/_http_client.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_http_client.py
@@ -29,7 +29,7 @@
 IDLE_WITHOUT_NOTICE_S = 0.3  # servers that state no timeout keep less than a second
 
 
-class OutgoingRequest(abc.ABC):
+class ResponseHandler(abc.ABC):
     """A request with whoever waits for its answer."""
 
     @abc.abstractmethod
@@ -48,7 +48,7 @@
         """
 
     @abc.abstractmethod
-    def take_data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Take a part of the body.
 
         Parameters
@@ -57,7 +57,7 @@
         """
 
     @abc.abstractmethod
-    def end(self) -> None:
+    def complete(self) -> None:
         """Take note that the answer is whole."""
 
     @abc.abstractmethod
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class RequestBytes:
+class HttpRequest:
     """What goes over the wire.
 
     Parameters
@@ -114,8 +114,8 @@
         self._on_idle = on_idle
         self._on_lost = on_lost
         self._codec = _make_codec()
-        self._request: OutgoingRequest | None = None
-        self._sent: RequestBytes | None = None
+        self._request: ResponseHandler | None = None
+        self._sent: HttpRequest | None = None
         self._is_skipping = False
         self._keep_s = IDLE_WITHOUT_NOTICE_S
         self.is_closed = False
@@ -135,13 +135,13 @@
             with contextlib.suppress(OSError):  # the timers of requests still hold
                 self.transport.socket.setsockopt(socket.IPPROTO_TCP, option, value)
 
-    def send(self, request: RequestBytes, waiter: OutgoingRequest) -> None:
+    def send(self, request: HttpRequest, waiter: ResponseHandler) -> None:
         """Send a request.
 
         Parameters
         ----------
-        request : RequestBytes
-        waiter : OutgoingRequest
+        request : HttpRequest
+        waiter : ResponseHandler
         """
         self._request = waiter
         self._sent = request
@@ -222,7 +222,7 @@
             self._take_head(event)
         elif isinstance(event, h11.Data):
             if not self._is_skipping:
-                self._request.take_data(bytes(event.data))
+                self._request.handle_data(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._finish()
         elif isinstance(event, h11.ConnectionClosed):
@@ -247,7 +247,7 @@
             self._on_idle(self)
         else:
             self.abort()
-        request.end()
+        request.complete()
 
     def _read_next_answer(self) -> None:
         """Go on behind an answer that belonged to an earlier request."""
--- a/packages/node/src/ebonyhaven_node/forwarding/_http_server.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_http_server.py
@@ -34,7 +34,7 @@
 
     Attributes
     ----------
-    on_gone : callable or None
+    on_disconnect : callable or None
         Called when the caller leaves before the answer is whole.
     """
 
@@ -45,7 +45,7 @@
         "head",
         "is_done",
         "is_started",
-        "on_gone",
+        "on_disconnect",
     )
 
     def __init__(
@@ -61,7 +61,7 @@
         self.arrived_at = arrived_at
         self.is_started = False
         self.is_done = False
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a whole answer.
@@ -123,8 +123,8 @@
         if self.is_done:
             return
         self.is_done = True
-        if self.on_gone is not None:
-            self.on_gone()
+        if self.on_disconnect is not None:
+            self.on_disconnect()
 
 
 class CallerConnection(Protocol):
--- a/packages/node/src/ebonyhaven_node/forwarding/_messages.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_messages.py
@@ -33,7 +33,7 @@
     headers: Headers
 
 
-class CopyPlace(NamedTuple):
+class CopyReference(NamedTuple):
     """How the holder of a copy finds it.
 
     Parameters
@@ -49,7 +49,7 @@
     handle: str | None
 
 
-class PromptSize(NamedTuple):
+class GenerationSize(NamedTuple):
     """Size of a generation as its caller states it.
 
     Parameters
@@ -82,7 +82,7 @@
     api_key : str or None
     last_event_id : str or None
         Last event of the stream that the caller holds.
-    size : PromptSize or None
+    size : GenerationSize or None
         Set for generations.
     prompt_id : str or None
         Identifies the part of the prompt that no other request shares.
@@ -100,12 +100,12 @@
     wait_s: float | None
     api_key: str | None
     last_event_id: str | None
-    size: PromptSize | None
+    size: GenerationSize | None
     prompt_id: str | None
     arrived_at: float
 
     @property
-    def content(self) -> str:
+    def content_digest(self) -> str:
         """Digest of what a server sees, the same when the caller repeats it."""
         hashed = hashlib.sha256(self.target)
         hashed.update((self.api_key or "").encode())
@@ -120,7 +120,7 @@
         """
         if self.prompt_id is None or self.size is None:
             return None
-        told = f"{self.content} {self.host} {self.prompt_id} {tuple(self.size)}"
+        told = f"{self.content_digest} {self.host} {self.prompt_id} {tuple(self.size)}"
         return hashlib.sha256(told.encode()).hexdigest()[:CONTENT_DIGITS]
 
 
@@ -138,7 +138,7 @@
         Rank within the engine, 0 is the most urgent; None for the default.
     copy_to : str or None
         Address of the engine that is to hold a copy of the run's memory.
-    copy : CopyPlace or None
+    copy : CopyReference or None
         Copy that the run goes on from.
     last_event_id : str or None
         Last event that the caller holds.
@@ -148,11 +148,11 @@
     workspace: str | None = None
     urgency: int | None = None
     copy_to: str | None = None
-    copy: CopyPlace | None = None
+    copy: CopyReference | None = None
     last_event_id: str | None = None
 
 
-class AnswerHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """Status and headers of a backend server's answer, decoded.
 
     Parameters
@@ -162,13 +162,13 @@
         Those that are passed on to the caller.
     request_id : str or None
         Request that it answers.
-    has_proof : bool
+    has_origin_proof : bool
         Whether it carries the server's proof of origin.
     not_run : bool
         Whether it proves that the request was not run.
     is_other_process : bool
         Whether another process than the addressed one answered.
-    other_server : str or None
+    other_server_id : str or None
         Id of that process, if it told it.
     load : int or None
         Requests that the server has, running and waiting.
@@ -177,28 +177,28 @@
     status: int
     headers: Headers
     request_id: str | None
-    has_proof: bool
+    has_origin_proof: bool
     not_run: bool
     is_other_process: bool
-    other_server: str | None
+    other_server_id: str | None
     load: int | None
 
 
-class AnswerStarted(NamedTuple):
+class ResponseStarted(NamedTuple):
     """The head of an answer arrived."""
 
     attempt: Attempt
-    head: AnswerHead
+    head: ResponseHead
 
 
-class AnswerData(NamedTuple):
+class ResponseData(NamedTuple):
     """A part of an answer's body arrived."""
 
     attempt: Attempt
     data: bytes
 
 
-class AnswerEnded(NamedTuple):
+class ResponseCompleted(NamedTuple):
     """An answer arrived whole."""
 
     attempt: Attempt
@@ -223,7 +223,7 @@
     reason: str
 
 
-class BackendsChanged(NamedTuple):
+class CapacityChanged(NamedTuple):
     """Room or servers may have become available."""
 
 
@@ -240,7 +240,7 @@
     data_centre: str
 
 
-class BackendChecked(NamedTuple):
+class BackendProbed(NamedTuple):
     """It was tried whether a backend server accepts connections.
 
     Parameters
@@ -253,7 +253,7 @@
     is_alive: bool
 
 
-class CopyMade(NamedTuple):
+class CopyRequestCompleted(NamedTuple):
     """An engine was asked for a copy of a run.
 
     Parameters
--- a/packages/node/src/ebonyhaven_node/forwarding/_progress.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_progress.py
@@ -9,7 +9,7 @@
 
 from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._http_server import Exchange
-from ebonyhaven_node.forwarding._messages import AnswerHead, ForwardRequest
+from ebonyhaven_node.forwarding._messages import ForwardRequest, ResponseHead
 
 _log = structlog.get_logger()
 
@@ -93,13 +93,13 @@
         """
         return [event for event in events if self._advance_position(event)]
 
-    def deliver(self, events: list[bytes], head: AnswerHead, now: float) -> None:
+    def deliver(self, events: list[bytes], head: ResponseHead, now: float) -> None:
         """Send events to the caller, preceded by the response head if not yet sent.
 
         Parameters
         ----------
         events : list of bytes
-        head : AnswerHead
+        head : ResponseHead
         now : float
             Seconds.
         """
@@ -114,12 +114,12 @@
         self.delivered += len(events)
         self._delivered_at = now
 
-    def finish(self, head: AnswerHead, remainder: bytes) -> None:
+    def finish(self, head: ResponseHead, remainder: bytes) -> None:
         """Complete the stream.
 
         Parameters
         ----------
-        head : AnswerHead
+        head : ResponseHead
         remainder : bytes
             Bytes after the last event.
         """
--- a/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
@@ -20,10 +20,10 @@
 from ebonyhaven_node.forwarding._context import RelayContext
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
-    BackendChecked,
+    BackendProbed,
     BackendSuspected,
-    CopyMade,
-    CopyPlace,
+    CopyReference,
+    CopyRequestCompleted,
 )
 from ebonyhaven_node.forwarding._reservations import EngineReservation
 from ebonyhaven_node.forwarding._stream_servers import StreamServerSelector
@@ -56,7 +56,7 @@
         Accounts for the memory of the copy.
     server_selector : StreamServerSelector
     inbox : Inbox
-        Receives `CopyMade`.
+        Receives `CopyRequestCompleted`.
     context : RelayContext
     """
 
@@ -90,11 +90,11 @@
         self._pending_request: Deferred | None = None
 
     @property
-    def reference(self) -> CopyPlace:
+    def reference(self) -> CopyReference:
         """Reference with which the holder finds the copy."""
         if self._handle is None:
-            return CopyPlace(self.holder.entry.address, None)
-        return CopyPlace(self._source.entry.address, self._handle)
+            return CopyReference(self.holder.entry.address, None)
+        return CopyReference(self._source.entry.address, self._handle)
 
     def is_usable(self, now: float) -> bool:
         """Return whether the run can resume from the copy.
@@ -147,11 +147,11 @@
             Messages of other types are ignored.
         """
         match message:
-            case CopyMade(holder, handle):
+            case CopyRequestCompleted(holder, handle):
                 self._handle_answer(holder, handle)
             case BackendSuspected() if self._is_available:
                 self._handle_suspicion(message)
-            case BackendChecked(server_key, False):
+            case BackendProbed(server_key, False):
                 if self._is_available and server_key == self.holder.key:
                     self._record_loss("holder accepts no connection")
 
@@ -233,7 +233,7 @@
             )
         )
         request.addCallbacks(
-            lambda handle: self._inbox.put(CopyMade(holder, handle)),
+            lambda handle: self._inbox.put(CopyRequestCompleted(holder, handle)),
             lambda failure: self._handle_failure(holder, failure),
         )
 
@@ -241,7 +241,7 @@
         if failure.check(CancelledError):
             return
         _log.error("run_copy_failed", request=self._request_id, error=str(failure))
-        self._inbox.put(CopyMade(holder, None))
+        self._inbox.put(CopyRequestCompleted(holder, None))
 
     def _handle_answer(self, holder: Backend, handle: str | None) -> None:
         self._pending_request = None
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
@@ -13,15 +13,15 @@
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
-    AnswerData,
-    AnswerEnded,
-    AnswerHead,
-    AnswerStarted,
     AttemptFailed,
-    BackendChecked,
+    BackendProbed,
     BackendSuspected,
+    ResponseCompleted,
+    ResponseData,
+    ResponseHead,
+    ResponseStarted,
 )
-from ebonyhaven_node.forwarding._outcomes import PROMISING_STATUSES
+from ebonyhaven_node.forwarding._outcomes import NOT_RUN_STATUSES
 from ebonyhaven_node.forwarding._progress import StreamProgress
 from ebonyhaven_node.forwarding._run_copies import RunCopy
 
@@ -61,13 +61,13 @@
     ----------
     end : AttemptEnd
     reason : str
-    failure : tuple of (AnswerHead, bytes) or None
+    failure : tuple of (ResponseHead, bytes) or None
         Error response of the server, if it may be forwarded to the caller.
     """
 
     end: AttemptEnd
     reason: str
-    failure: tuple[AnswerHead, bytes] | None = None
+    failure: tuple[ResponseHead, bytes] | None = None
 
 
 class StreamAttempt:
@@ -139,13 +139,13 @@
                 result = self._handle_silence(limits)
             case BackendSuspected():
                 result = self._handle_suspicion(message)
-            case BackendChecked(server_key, False) if server_key == self._backend.key:
+            case BackendProbed(server_key, False) if server_key == self._backend.key:
                 result = self._handle_failed_probe()
-            case AnswerStarted(sender, head) if sender is self._attempt:
+            case ResponseStarted(sender, head) if sender is self._attempt:
                 self._handle_head(head)
-            case AnswerData(sender, data) if sender is self._attempt:
+            case ResponseData(sender, data) if sender is self._attempt:
                 result = self._handle_data(data)
-            case AnswerEnded(sender) if sender is self._attempt:
+            case ResponseCompleted(sender) if sender is self._attempt:
                 result = self._handle_end()
             case AttemptFailed(sender) if sender is self._attempt:
                 result = _make_failure_result(message)
@@ -195,10 +195,10 @@
 
     # -- response ----------------------------------------------------------
 
-    def _handle_head(self, head: AnswerHead) -> None:
+    def _handle_head(self, head: ResponseHead) -> None:
         self._monitor.record_head(head)
         if head.is_other_process:
-            self._context.report_replaced(self._backend, head.other_server)
+            self._context.report_replaced(self._backend, head.other_server_id)
 
     def _handle_data(self, data: bytes) -> AttemptResult | None:
         if not self._monitor.is_event_stream():
@@ -228,10 +228,10 @@
             self._monitor.record_stream_completed()
         return AttemptResult(AttemptEnd.DONE, "complete")
 
-    def _handle_error(self, head: AnswerHead) -> AttemptResult:
+    def _handle_error(self, head: ResponseHead) -> AttemptResult:
         body = b"".join(self._monitor.error_body)
         reason = f"server answered with {head.status}"
-        may_forward = head.has_proof and head.status not in PROMISING_STATUSES
+        may_forward = head.has_origin_proof and head.status not in NOT_RUN_STATUSES
         if not may_forward or self._exchange.is_started:
             return AttemptResult(AttemptEnd.ERROR, reason)
         if head.status < 500:
--- a/packages/node/src/ebonyhaven_node/forwarding/_streams.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_streams.py
@@ -22,13 +22,13 @@
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
-    AnswerHead,
     AttemptPlan,
-    BackendsChanged,
-    CopyPlace,
+    CapacityChanged,
+    CopyReference,
     ForwardRequest,
+    ResponseHead,
 )
-from ebonyhaven_node.forwarding._outcomes import NO_SERVER_RETRY_S
+from ebonyhaven_node.forwarding._outcomes import NO_SERVER_RETRY_AFTER_S
 from ebonyhaven_node.forwarding._progress import StreamProgress
 from ebonyhaven_node.forwarding._reservations import EngineReservation
 from ebonyhaven_node.forwarding._run_copies import RunCopy
@@ -54,7 +54,7 @@
     """Server of an attempt, and the copy that the run resumes from."""
 
     backend: Backend
-    copy: CopyPlace | None
+    copy: CopyReference | None
 
 
 class StreamRelay:
@@ -117,7 +117,7 @@
         )
         self._run_copy: RunCopy | None = None
         self._earlier_run = EarlierRun(request=request, route=route, context=parts)
-        self._failed_answer: tuple[AnswerHead, bytes] | None = None
+        self._failed_answer: tuple[ResponseHead, bytes] | None = None
         self._last_reason = "no server was tried"
         self._last_peer = "self"
 
@@ -153,7 +153,7 @@
                 if choice is not None and self._acquire_retry(now):
                     return choice
                 message = await self._inbox.get(CAPACITY_POLL_INTERVAL_S)
-                while message is not None and not isinstance(message, BackendsChanged):
+                while message is not None and not isinstance(message, CapacityChanged):
                     message = await self._inbox.get(0.0)
         finally:
             self._context.capacity_notifier.unsubscribe(self._inbox)
@@ -196,7 +196,7 @@
     def _is_stopped_by_crashes(self) -> bool:
         if not self._may_have_run:
             return False
-        verdict = self._context.crashes.judge(self._request.content)
+        verdict = self._context.crashes.judge(self._request.content_digest)
         return verdict is CrashVerdict.STOPPED
 
     def _give_up(self, now: float, reason: str) -> None:
@@ -216,7 +216,9 @@
             self._exchange.respond(head.status, head.headers, body)
             return
         if not self._may_have_run:
-            retry_after_s = None if reason == TOO_LATE_REASON else NO_SERVER_RETRY_S
+            retry_after_s = (
+                None if reason == TOO_LATE_REASON else NO_SERVER_RETRY_AFTER_S
+            )
             raise refuse(reason, step="route", retry_after_s=retry_after_s)
         is_late = now >= self._deadline
         raise give_up(
--- a/packages/node/src/ebonyhaven_node/forwarding/interfaces.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/interfaces.py
@@ -9,10 +9,10 @@
 
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._messages import (
-    AnswerHead,
     AttemptPlan,
     ForwardRequest,
     Headers,
+    ResponseHead,
 )
 
 
@@ -73,7 +73,7 @@
         """
 
     @abc.abstractmethod
-    def read_head(self, status: int, headers: Headers) -> AnswerHead:
+    def read_head(self, status: int, headers: Headers) -> ResponseHead:
         """Decode the head of an answer.
 
         Parameters
@@ -83,7 +83,7 @@
 
         Returns
         -------
-        AnswerHead
+        ResponseHead
         """
 
     @abc.abstractmethod
--- a/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
@@ -4,12 +4,12 @@
 
 from ebonyhaven_decisions import Outcome
 from ebonyhaven_node.forwarding import (
-    AnswerHead,
     AttemptPlan,
     Exchange,
     ForwardRequest,
+    GenerationSize,
     Headers,
-    PromptSize,
+    ResponseHead,
 )
 from ebonyhaven_node.forwarding.interfaces import BackendDialect, CallerDialect
 
@@ -35,7 +35,7 @@
             wait_s=None,
             api_key=KEY,
             last_event_id=None,
-            size=PromptSize(int(prompt), int(output)),
+            size=GenerationSize(int(prompt), int(output)),
             prompt_id=found["id"],
             arrived_at=exchange.arrived_at,
         )
@@ -68,17 +68,17 @@
             if value is not None
         )
 
-    def read_head(self, status: int, headers: Headers) -> AnswerHead:
+    def read_head(self, status: int, headers: Headers) -> ResponseHead:
         """See `BackendDialect.read_head`."""
         found = dict(headers)
-        return AnswerHead(
+        return ResponseHead(
             status=status,
             headers=(),
             request_id=found[b"id"].decode(),
-            has_proof=status == 200,
+            has_origin_proof=status == 200,
             not_run=b"not-run" in found,
             is_other_process=b"other" in found,
-            other_server=None,
+            other_server_id=None,
             load=None,
         )
 
