--- a/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
@@ -11,12 +11,14 @@
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import ServerInspector, StateSource
 
-CONFIRM_S = 2.5  # entries that lapsed are back within two seconds of the store
+CONFIRMATION_TIMEOUT_S = (
+    2.5  # entries that lapsed are back within two seconds of the store
+)
 
 _log = structlog.get_logger()
 
 
-class Adoption:
+class EngineAdopter:
     """Takes restarted engines into use while the store is away.
 
     An engine that restarts has a new id, which only the list tells. While the list
@@ -45,10 +47,10 @@
         self._source = source
         self._inspector = inspector
         self._clock = clock
-        self._asked: set[str] = set()
-        self._behind_at = clock()
+        self._inspected_ids: set[str] = set()
+        self._last_behind_at = clock()
 
-    def note_other_process(self, backend: Backend, server_id: str) -> None:
+    def inspect_replacement(self, backend: Backend, server_id: str) -> None:
         """Ask the process that answered in place of a known one.
 
         Parameters
@@ -58,26 +60,26 @@
         server_id : str
             Id of the process that answered.
         """
-        if not self._source.is_behind() or server_id in self._asked:
+        if not self._source.is_behind() or server_id in self._inspected_ids:
             return
         if not self._is_only_engine_service(backend.entry.service):
             return
-        self._asked.add(server_id)
-        asking = ensureDeferred(self._ask(backend, server_id))
+        self._inspected_ids.add(server_id)
+        asking = ensureDeferred(self._inspect_and_adopt(backend, server_id))
         asking.addErrback(
             lambda failure: _log.error("adoption_failed", error=str(failure.value))
         )
 
-    def review(self) -> None:
+    def remove_unconfirmed(self) -> None:
         """Drop what the list did not confirm; called a few times a second."""
         now = self._clock()
         if self._source.is_behind():
-            self._behind_at = now
-        elif now - self._behind_at > CONFIRM_S:
-            self._asked.clear()
-            self._state.drop_adopted()
+            self._last_behind_at = now
+        elif now - self._last_behind_at > CONFIRMATION_TIMEOUT_S:
+            self._inspected_ids.clear()
+            self._state.remove_adopted_backends()
 
-    async def _ask(self, backend: Backend, server_id: str) -> None:
+    async def _inspect_and_adopt(self, backend: Backend, server_id: str) -> None:
         found = await self._inspector.inspect(backend.entry.address)
         if found is None or not found.is_engine:
             _log.info("process_not_adopted", server=server_id)
--- a/packages/node/src/ebonyhaven_node/forwarding/_filters.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_filters.py
@@ -36,7 +36,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Work:
+class RequestContext:
     """A request with what the filters found out about it.
 
     Parameters
@@ -57,7 +57,7 @@
     workspace: Workspace | None = None
 
 
-class ReportFilter(Filter[Work]):
+class ReportFilter(Filter[RequestContext]):
     """Counts and logs how requests end, and answers those that fail.
 
     Parameters
@@ -78,18 +78,22 @@
         self._metrics = metrics
         self._clock = clock
 
-    async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
+    async def handle(
+        self, work: RequestContext, proceed: Proceed[RequestContext]
+    ) -> None:
         """See `Filter.handle`."""
         try:
             await proceed(work)
         except RequestFailure as failure:
-            self._answer(work, failure)
+            self._respond_with_failure(work, failure)
             return
-        self._count(work, "answered", "relay")
+        self._count_request(work, "answered", "relay")
 
-    def _answer(self, work: Work, failure: RequestFailure) -> None:
+    def _respond_with_failure(
+        self, work: RequestContext, failure: RequestFailure
+    ) -> None:
         outcome = failure.outcome
-        self._count(work, outcome.tag.value, outcome.step)
+        self._count_request(work, outcome.tag.value, outcome.step)
         _log.warning(
             "request_failed",
             request=work.request.request_id if work.request else None,
@@ -108,12 +112,12 @@
         headers, body = self._dialect.describe_outcome(outcome)
         work.exchange.respond(outcome.status, headers, body)
 
-    def _count(self, work: Work, outcome: str, step: str) -> None:
+    def _count_request(self, work: RequestContext, outcome: str, step: str) -> None:
         kind = work.route.kind.value if work.route else "none"
         self._metrics.requests.labels(kind, outcome, step).inc()
 
 
-class DecodeFilter(Filter[Work]):
+class DecodeFilter(Filter[RequestContext]):
     """Decodes the request.
 
     Parameters
@@ -124,13 +128,15 @@
     def __init__(self, dialect: CallerDialect):
         self._dialect = dialect
 
-    async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
+    async def handle(
+        self, work: RequestContext, proceed: Proceed[RequestContext]
+    ) -> None:
         """See `Filter.handle`."""
         work.request = self._dialect.read_request(work.exchange)
         await proceed(work)
 
 
-class RouteFilter(Filter[Work]):
+class RouteFilter(Filter[RequestContext]):
     """Finds the route in the configuration in force.
 
     Parameters
@@ -141,7 +147,9 @@
     def __init__(self, state: ForwardingState):
         self._state = state
 
-    async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
+    async def handle(
+        self, work: RequestContext, proceed: Proceed[RequestContext]
+    ) -> None:
         """See `Filter.handle`."""
         if not self._state.is_complete:
             raise refuse(
@@ -157,20 +165,24 @@
         await proceed(work)
 
 
-class IdentifyFilter(Filter[Work]):
+class IdentifyFilter(Filter[RequestContext]):
     """Finds out whose request it is."""
 
-    async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
+    async def handle(
+        self, work: RequestContext, proceed: Proceed[RequestContext]
+    ) -> None:
         """See `Filter.handle`."""
         key = work.request.api_key
         work.workspace = work.configuration.workspaces.get(key) if key else None
-        is_open = work.route.is_anonymous or not work.configuration.requires_keys
-        if work.workspace is None and not is_open:
+        allows_anonymous = (
+            work.route.is_anonymous or not work.configuration.requires_keys
+        )
+        if work.workspace is None and not allows_anonymous:
             raise refuse("unknown key", step="identify", status=401)
         await proceed(work)
 
 
-class CrashFilter(Filter[Work]):
+class CrashFilter(Filter[RequestContext]):
     """Refuses contents that killed each server which began to work on them.
 
     Parameters
@@ -181,7 +193,9 @@
     def __init__(self, crashes: CrashReports):
         self._crashes = crashes
 
-    async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
+    async def handle(
+        self, work: RequestContext, proceed: Proceed[RequestContext]
+    ) -> None:
         """See `Filter.handle`."""
         verdict = self._crashes.judge(work.request.content_digest)
         if verdict is CrashVerdict.STOPPED:
@@ -189,21 +203,23 @@
         await proceed(work)
 
 
-class AdmitFilter(Filter[Work]):
+class AdmitFilter(Filter[RequestContext]):
     """Refuses requests that would not end before this instance does.
 
     Parameters
     ----------
-    takes : callable
+    accepts : callable
         Returns for a `Route` whether this instance still takes its requests.
     """
 
-    def __init__(self, takes: Callable[[Route], bool]):
-        self._takes = takes
+    def __init__(self, accepts: Callable[[Route], bool]):
+        self._accepts = accepts
 
-    async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
+    async def handle(
+        self, work: RequestContext, proceed: Proceed[RequestContext]
+    ) -> None:
         """See `Filter.handle`."""
-        if not self._takes(work.route):
+        if not self._accepts(work.route):
             raise refuse(
                 "this instance is leaving; use another",
                 step="admit",
@@ -212,7 +228,7 @@
         await proceed(work)
 
 
-class RelayFilter(Filter[Work]):
+class RelayFilter(Filter[RequestContext]):
     """Sends the request to backend servers and relays the answer.
 
     Parameters
@@ -225,7 +241,9 @@
         self._context = context
         self._rng = rng
 
-    async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
+    async def handle(
+        self, work: RequestContext, proceed: Proceed[RequestContext]
+    ) -> None:
         """See `Filter.handle`."""
         route = work.route
         active = self._context.metrics.active.labels(route.kind.value)
@@ -233,7 +251,7 @@
             await self._build_relay(work).run()
         await proceed(work)
 
-    def _build_relay(self, work: Work) -> CallRelay | StreamRelay:
+    def _build_relay(self, work: RequestContext) -> CallRelay | StreamRelay:
         route = work.route
         service = self._choose_service(route)
         workspace = work.workspace
@@ -250,7 +268,7 @@
         known = work.configuration.services.get(service)
         return StreamRelay(
             engine=known.engine if known else None,
-            urgency=_rank(route, workspace),
+            urgency=_get_priority(route, workspace),
             **shared,
         )
 
@@ -262,7 +280,7 @@
         return self._rng.choices(names, weights)[0]
 
 
-def _rank(route: Route, workspace: Workspace | None) -> int:
+def _get_priority(route: Route, workspace: Workspace | None) -> int:
     if workspace is not None and workspace.priority is not None:
         return workspace.priority
     return route.priority
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -30,7 +30,7 @@
 from ebonyhaven_node._membership import MembershipController
 from ebonyhaven_node._own_record import make_own_record
 from ebonyhaven_node._processor_load import ProcessorLoad
-from ebonyhaven_node.forwarding._adoption import Adoption
+from ebonyhaven_node.forwarding._adoption import EngineAdopter
 from ebonyhaven_node.forwarding._connection_pool import (
     SWEEP_INTERVAL_S,
     ConnectionPool,
@@ -47,13 +47,17 @@
     IdentifyFilter,
     RelayFilter,
     ReportFilter,
+    RequestContext,
     RouteFilter,
-    Work,
 )
 from ebonyhaven_node.forwarding._http_server import CallerServer, Exchange
 from ebonyhaven_node.forwarding._metrics import ForwardingMetrics
 from ebonyhaven_node.forwarding._shared_copy_index import SharedCopyIndex
-from ebonyhaven_node.forwarding._sharing import REFRESH_S, StateSharing, UseSharing
+from ebonyhaven_node.forwarding._sharing import (
+    USE_REFRESH_INTERVAL_S,
+    EngineUseExchange,
+    StateSynchronizer,
+)
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import (
     BackendDialect,
@@ -63,11 +67,11 @@
     StateSource,
 )
 
-BACKLOG = 512  # connections that wait to be accepted in a burst
-STREAM_ADMISSION_SHARE = 0.25  # of the grace: a stream that starts later is cut
-STOP_MARGIN_S = 0.6  # before the end of the grace, to close by ourselves
-DRAIN_CHECK_S = 0.05
-MAX_IDLE_DEATHS = 3  # one content may kill three servers before it is stopped
+LISTEN_BACKLOG = 512  # connections that wait to be accepted in a burst
+STREAM_ADMISSION_GRACE_SHARE = 0.25  # of the grace: a stream that starts later is cut
+SHUTDOWN_MARGIN_S = 0.6  # before the end of the grace, to close by ourselves
+DRAIN_POLL_INTERVAL_S = 0.05
+MAX_DEATHS_PER_CONTENT = 3  # one content may kill three servers before it is stopped
 
 _log = structlog.get_logger()
 
@@ -85,7 +89,7 @@
         Control addresses of other instances by name.
     grace_s : float
         Time from the request to stop until the process is killed.
-    repeat_ratio, repeat_window_s, repeat_slack : float
+    retry_budget_ratio, retry_budget_window_s, retry_budget_slack : float
         Bound on repeats, see `ServiceRetryBudget`.
     """
 
@@ -96,9 +100,9 @@
     control_address: str
     seeds: Mapping[str, str]
     grace_s: float
-    repeat_ratio: float
-    repeat_window_s: float
-    repeat_slack: float
+    retry_budget_ratio: float
+    retry_budget_window_s: float
+    retry_budget_slack: float
 
 
 class Gateway:
@@ -144,34 +148,37 @@
         self._load = ProcessorLoad()
         self._leaving_since: float | None = None
         self._active = 0
-        self._losses: LogLosses | None = None
+        self._log_losses: LogLosses | None = None
         self.pool = ConnectionPool(reactor, clock)
         self.source = build_source(self.state, self.pool)
-        self._adoption = Adoption(
+        self._adopter = EngineAdopter(
             state=self.state,
             source=self.source,
             inspector=build_inspector(self.pool),
             clock=clock,
         )
         self._crashes = CrashReports(
-            CrashLedger(max_deaths=MAX_IDLE_DEATHS, max_weak_deaths=2 * MAX_IDLE_DEATHS)
+            CrashLedger(
+                max_deaths=MAX_DEATHS_PER_CONTENT,
+                max_weak_deaths=2 * MAX_DEATHS_PER_CONTENT,
+            )
         )
         self._metrics = ForwardingMetrics(self.registry)
-        self._metrics.watch_state(
+        self._metrics.register_state_gauges(
             read_version=lambda: self.source.read_version()[0],
             count_backends=lambda: sum(1 for _ in self.state.backends),
             count_suspects=self._count_suspects,
             is_behind=self.source.is_behind,
             count_connections=lambda: self.pool.opened_count,
         )
-        self._peers = PeerEngineUse(ttl_s=3 * REFRESH_S)
+        self._peers = PeerEngineUse(ttl_s=3 * USE_REFRESH_INTERVAL_S)
         self._capacity_notifier = CapacityNotifier()
         self._budget = ServiceRetryBudget(
-            ratio=settings.repeat_ratio,
-            window_s=settings.repeat_window_s,
-            slack=settings.repeat_slack,
+            ratio=settings.retry_budget_ratio,
+            window_s=settings.retry_budget_window_s,
+            slack=settings.retry_budget_slack,
         )
-        self._sharing: UseSharing | None = None
+        self._use_exchange: EngineUseExchange | None = None
         self._copy_index = SharedCopyIndex(reactor, clock)
         self._copier = build_copier(self.pool)
         self._chain = self._build_chain(caller_dialect, backend_dialect)
@@ -195,10 +202,10 @@
 
     def start(self) -> None:
         """Listen for callers and follow the source."""
-        self._start_sharing()
+        self._start_membership()
         host, _, port = self._settings.caller_address.rpartition(":")
         listener = self._reactor.listenTCP(
-            int(port), self.server, interface=host, backlog=BACKLOG
+            int(port), self.server, interface=host, backlog=LISTEN_BACKLOG
         )
         self._stack.callback(listener.stopListening)
         sweep = task.LoopingCall(self._sweep)
@@ -218,7 +225,7 @@
         ----------
         losses : LogLosses
         """
-        self._losses = losses
+        self._log_losses = losses
         losses.show(self.registry)
 
     def choose_entries(self) -> EntryList:
@@ -240,8 +247,8 @@
         self._leaving_since = self._clock()
         self.membership.leave()
         _log.info("instance_leaving", active=self._active)
-        while self._clock() < self._stop_at():
-            await task.deferLater(self._reactor, DRAIN_CHECK_S)
+        while self._clock() < self._get_closing_time():
+            await task.deferLater(self._reactor, DRAIN_POLL_INTERVAL_S)
         _log.info("instance_stopped", active=self._active)
         await self.membership.depart()
         self.server.close_all()
@@ -253,24 +260,24 @@
 
     def _sweep(self) -> None:
         self.pool.close_expired()
-        self._adoption.review()
-        if self._losses is not None:
-            self._losses.drain()
+        self._adopter.remove_unconfirmed()
+        if self._log_losses is not None:
+            self._log_losses.drain()
 
-    def _takes(self, route: Route) -> bool:
+    def _accepts(self, route: Route) -> bool:
         """Tell whether a request that comes now ends before this instance does."""
         if self._leaving_since is None:
             return True
         now = self._clock()
         if route.kind is RequestKind.STREAM:
-            share_s = STREAM_ADMISSION_SHARE * self._settings.grace_s
+            share_s = STREAM_ADMISSION_GRACE_SHARE * self._settings.grace_s
             return now < self._leaving_since + share_s
-        return now + route.timeout_s < self._stop_at()
+        return now + route.timeout_s < self._get_closing_time()
 
-    def _stop_at(self) -> float:
-        return self._leaving_since + self._settings.grace_s - STOP_MARGIN_S
+    def _get_closing_time(self) -> float:
+        return self._leaving_since + self._settings.grace_s - SHUTDOWN_MARGIN_S
 
-    def _start_sharing(self) -> None:
+    def _start_membership(self) -> None:
         settings = self._settings
         channels = Channels(
             reactor=self._reactor,
@@ -296,13 +303,13 @@
         self.membership.set_load_source(self._load.read)
         self.membership.set_seeds(settings.seeds)
         self.membership.add_digest(self._crashes.make_digest())
-        StateSharing(
+        StateSynchronizer(
             source=self.source,
             membership=self.membership,
             channels=channels,
             clock=self._clock,
         )
-        self._sharing = UseSharing(
+        self._use_exchange = EngineUseExchange(
             state=self.state,
             peers=self._peers,
             budget=self._budget,
@@ -310,12 +317,12 @@
             channels=channels,
             reactor=self._reactor,
             rng=self._rng,
-            on_news=self._capacity_notifier.notify,
+            on_peer_use=self._capacity_notifier.notify,
             on_loss=lambda backend: self._context.report_unreachable(
                 backend, is_from_peer=True
             ),
         )
-        self._stack.callback(self._sharing.stop)
+        self._stack.callback(self._use_exchange.stop)
         self._copy_index.connect(self.membership, channels)
         self.membership.start()
 
@@ -338,9 +345,9 @@
             reactor=self._reactor,
             rng=self._rng,
             clock=self._clock,
-            on_usage_change=self._note_use,
-            on_loss=self._note_loss,
-            on_other_process=self._adoption.note_other_process,
+            on_usage_change=self._schedule_use_update,
+            on_loss=self._report_lost_server,
+            on_other_process=self._adopter.inspect_replacement,
             crashes=self._crashes,
             copy_index=self._copy_index,
         )
@@ -351,22 +358,22 @@
                 RouteFilter(self.state),
                 IdentifyFilter(),
                 CrashFilter(self._crashes),
-                AdmitFilter(self._takes),
+                AdmitFilter(self._accepts),
                 RelayFilter(context, self._rng),
             ]
         )
 
-    def _note_use(self) -> None:
-        if self._sharing is not None:
-            self._sharing.note_change()
+    def _schedule_use_update(self) -> None:
+        if self._use_exchange is not None:
+            self._use_exchange.schedule_update()
 
-    def _note_loss(self, backend: Backend) -> None:
-        if self._sharing is not None:
-            self._sharing.note_loss(backend)
+    def _report_lost_server(self, backend: Backend) -> None:
+        if self._use_exchange is not None:
+            self._use_exchange.report_lost_server(backend)
 
     def _handle(self, exchange: Exchange) -> None:
         self._active += 1
-        running = ensureDeferred(self._chain(Work(exchange)))
+        running = ensureDeferred(self._chain(RequestContext(exchange)))
         exchange.on_disconnect = running.cancel
         running.addBoth(self._finish, exchange)
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_metrics.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_metrics.py
@@ -78,7 +78,7 @@
             registry=registry,
         )
 
-    def watch_state(
+    def register_state_gauges(
         self,
         *,
         read_version: Callable[[], int],
--- a/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
@@ -26,14 +26,14 @@
 from ebonyhaven_node.forwarding.interfaces import StateSource
 
 SEND_DELAY_S = 0.01  # changes that come together go out together
-REFRESH_S = 1.0  # statements are dropped after three times this
+USE_REFRESH_INTERVAL_S = 1.0  # statements are dropped after three times this
 MAX_RECEIVERS = 16  # bounds the traffic where there are many instances
-ASK_INTERVAL_S = 0.4  # between two questions for a newer state
+STATE_REQUEST_INTERVAL_S = 0.4  # between two questions for a newer state
 
 _log = structlog.get_logger()
 
 
-class UseSharing:
+class EngineUseExchange:
     """Tells other instances what this one occupies on engines.
 
     Parameters
@@ -47,7 +47,7 @@
     channels : Channels
     reactor : IReactorTime
     rng : random.Random
-    on_news : callable
+    on_peer_use : callable
         Called when others told something.
     on_loss : callable
         Called with each server that another instance found lost.
@@ -63,7 +63,7 @@
         channels: Channels,
         reactor: IReactorTime,
         rng: random.Random,
-        on_news: Callable[[], None],
+        on_peer_use: Callable[[], None],
         on_loss: Callable[[Backend], None],
     ):
         self._on_loss = on_loss
@@ -74,19 +74,19 @@
         self._membership = membership
         self._reactor = reactor
         self._rng = rng
-        self._on_news = on_news
+        self._on_peer_use = on_peer_use
         self._timer: Any = None
-        self._told_any = False
+        self._has_sent_use = False
         channels.subscribe(FrameKind.ENGINE_USE, self._receive)
 
-    def note_change(self) -> None:
+    def schedule_update(self) -> None:
         """Tell the others soon."""
         if self._timer is None or not self._timer.active():
             self._timer = self._reactor.callLater(SEND_DELAY_S, self._send)
         elif self._timer.getTime() - self._reactor.seconds() > SEND_DELAY_S:
             self._timer.reset(SEND_DELAY_S)
 
-    def note_loss(self, backend: Backend) -> None:
+    def report_lost_server(self, backend: Backend) -> None:
         """Tell the others soon that a server is lost.
 
         Parameters
@@ -94,7 +94,7 @@
         backend : Backend
         """
         self._lost.add(backend.server_id)
-        self.note_change()
+        self.schedule_update()
 
     def stop(self) -> None:
         """Tell nothing more."""
@@ -115,13 +115,13 @@
             if each.run_tokens or each.copy_tokens
         }
         lost, self._lost = sorted(self._lost), set()
-        if uses or lost or self._told_any:
+        if uses or lost or self._has_sent_use:
             chosen = self._rng.sample(peers, min(MAX_RECEIVERS, len(peers)))
             for name in chosen:
                 self._membership.send(name, FrameKind.ENGINE_USE, [uses, lost])
-        self._told_any = bool(uses)
+        self._has_sent_use = bool(uses)
         if uses:
-            self._timer = self._reactor.callLater(REFRESH_S, self._send)
+            self._timer = self._reactor.callLater(USE_REFRESH_INTERVAL_S, self._send)
 
     def _receive(self, frame: Frame) -> None:
         try:
@@ -135,10 +135,10 @@
             return
         self._peers.record(frame.sender, uses, time.monotonic())
         for server_id in lost:
-            self._take_loss(server_id)
-        self._on_news()
+            self._handle_lost_server(server_id)
+        self._on_peer_use()
 
-    def _take_loss(self, server_id: str) -> None:
+    def _handle_lost_server(self, server_id: str) -> None:
         """Believe another instance unless the server was heard here meanwhile."""
         backend = self._state.backends.find(server_id)
         if backend is None:
@@ -147,7 +147,7 @@
             self._on_loss(backend)
 
 
-class StateDigest(Digest):
+class StateVersionDigest(Digest):
     """Tells with each heartbeat which versions this instance holds.
 
     Parameters
@@ -178,7 +178,7 @@
         self._on_versions(sender, (int(configuration), int(servers)))
 
 
-class StateSharing:
+class StateSynchronizer:
     """Gets configuration and server list from peers while the store is away.
 
     Parameters
@@ -201,25 +201,25 @@
         self._source = source
         self._membership = membership
         self._clock = clock
-        self._asked_at = -ASK_INTERVAL_S
+        self._requested_at = -STATE_REQUEST_INTERVAL_S
         self._unready: set[str] = set()
-        membership.add_digest(StateDigest(source, self._compare))
-        channels.subscribe(FrameKind.STATE_REQUEST, self._answer)
-        channels.subscribe(FrameKind.STATE, self._take)
+        membership.add_digest(StateVersionDigest(source, self._handle_versions))
+        channels.subscribe(FrameKind.STATE_REQUEST, self._handle_state_request)
+        channels.subscribe(FrameKind.STATE, self._handle_state)
 
-    def _compare(self, sender: str, versions: tuple[int, int]) -> None:
+    def _handle_versions(self, sender: str, versions: tuple[int, int]) -> None:
         own = self._source.read_version()
-        self._note_readiness(sender, versions)
+        self._update_readiness(sender, versions)
         is_newer = versions[0] > own[0] or versions[1] > own[1]
         now = self._clock()
         if not is_newer or not self._source.is_behind():
             return
-        if now - self._asked_at < ASK_INTERVAL_S:
+        if now - self._requested_at < STATE_REQUEST_INTERVAL_S:
             return
-        self._asked_at = now
+        self._requested_at = now
         self._membership.send(sender, FrameKind.STATE_REQUEST, list(own))
 
-    def _note_readiness(self, sender: str, versions: tuple[int, int]) -> None:
+    def _update_readiness(self, sender: str, versions: tuple[int, int]) -> None:
         """Offer no instance to callers that holds no state to serve them with."""
         unready = (
             self._unready | {sender} if 0 in versions else self._unready - {sender}
@@ -228,10 +228,10 @@
             self._unready = unready
             self._membership.set_excluded_entries(unready)
 
-    def _answer(self, frame: Frame) -> None:
+    def _handle_state_request(self, frame: Frame) -> None:
         self._membership.send(frame.sender, FrameKind.STATE, self._source.export())
 
-    def _take(self, frame: Frame) -> None:
+    def _handle_state(self, frame: Frame) -> None:
         try:
             self._source.merge(frame.payload)
         except (KeyError, TypeError, ValueError) as error:
--- a/packages/node/src/ebonyhaven_node/forwarding/_state.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_state.py
@@ -29,14 +29,14 @@
         self._clock = clock
         self.configuration: RoutingConfiguration | None = None
         self.backends = BackendDirectory()
-        self.has_list = False
+        self.has_backend_list = False
         self._adopted: set[str] = set()
-        self._on_change: list[Callable[[], None]] = []
+        self._observers: list[Callable[[], None]] = []
 
     @property
     def is_complete(self) -> bool:
         """Whether requests can be served."""
-        return self.configuration is not None and self.has_list
+        return self.configuration is not None and self.has_backend_list
 
     @property
     def limits(self) -> CallerLimits:
@@ -47,9 +47,9 @@
 
     def observe(self, observer: Callable[[], None]) -> None:
         """Call ``observer`` after each change of servers or configuration."""
-        self._on_change.append(observer)
+        self._observers.append(observer)
 
-    def take_configuration(self, configuration: RoutingConfiguration) -> None:
+    def apply_configuration(self, configuration: RoutingConfiguration) -> None:
         """Put a configuration in force, unless a later one is.
 
         Parameters
@@ -66,7 +66,7 @@
             before=known.version if known else None,
             routes=sum(len(each) for each in configuration.routes.values()),
         )
-        self._tell()
+        self._notify_observers()
 
     def put_backend(self, entry: BackendEntry) -> None:
         """Take over the entry of a backend server.
@@ -88,7 +88,7 @@
             state=entry.state.value,
             started_ms=entry.started_ms,
         )
-        self._tell()
+        self._notify_observers()
 
     def remove_backend(self, server_id: str) -> None:
         """Take note that an entry is gone.
@@ -102,7 +102,7 @@
             return
         self.backends.remove(server_id, self._clock())
         _log.info("backend_unlisted", server=server_id)
-        self._tell()
+        self._notify_observers()
 
     def adopt_backend(self, entry: BackendEntry) -> None:
         """Use a process that was met while the list could not be read.
@@ -116,7 +116,7 @@
         self.put_backend(entry)
         self._adopted.add(entry.server_id)
 
-    def drop_adopted(self) -> None:
+    def remove_adopted_backends(self) -> None:
         """Drop the processes that the list still lacks although it is read again."""
         for server_id in list(self._adopted):
             self._adopted.discard(server_id)
@@ -138,9 +138,9 @@
             self.remove_backend(backend.server_id)
         for entry in entries.values():
             self.put_backend(entry)
-        self.has_list = True
-        self._tell()
+        self.has_backend_list = True
+        self._notify_observers()
 
-    def _tell(self) -> None:
-        for observer in self._on_change:
+    def _notify_observers(self) -> None:
+        for observer in self._observers:
             observer()
--- a/packages/standins/src/ebonyhaven_standins/memory_connections.py
+++ b/packages/standins/src/ebonyhaven_standins/memory_connections.py
@@ -29,9 +29,9 @@
         control_address="10.1.0.1:81",
         seeds={},
         grace_s=8.0,
-        repeat_ratio=0.8,
-        repeat_window_s=10.0,
-        repeat_slack=150.0,
+        retry_budget_ratio=0.8,
+        retry_budget_window_s=10.0,
+        retry_budget_slack=150.0,
     )
 
 
--- a/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
@@ -232,7 +232,7 @@
         )
         self._gateway = self._build_gateway(seed)
         entries = {each.name: each.describe() for each in self._fleet.engines}
-        self._gateway.state.take_configuration(_make_configuration(way))
+        self._gateway.state.apply_configuration(_make_configuration(way))
         self._gateway.state.replace_backends(entries)
         self._seen = 0
         self._streams: list[_Stream] = []
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -292,7 +292,7 @@
         self.state = self.gateway.state
         self.reactor.advance(100.0)
         if configuration is not False:
-            self.state.take_configuration(configuration or make_configuration())
+            self.state.apply_configuration(configuration or make_configuration())
         entries = [make_entry(f"p-{number}") for number in range(plain)]
         entries += [
             make_entry(f"e-{number}", "engines", f"dc-{'abc'[number % 3]}")
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -52,8 +52,8 @@
 
 def test_older_configuration_never_replaces_a_newer_one():
     harness = ForwardingHarness()
-    harness.state.take_configuration(make_configuration(version=5))
-    harness.state.take_configuration(make_configuration(version=4))
+    harness.state.apply_configuration(make_configuration(version=5))
+    harness.state.apply_configuration(make_configuration(version=4))
     assert harness.state.configuration.version == 5
 
 
--- a/tests/forwarding/test_adoption.py
+++ b/tests/forwarding/test_adoption.py
@@ -9,13 +9,13 @@
     make_entry,
 )
 
-SIZE = {"X_Token_Count": "8000,700"}
+TOKEN_COUNT_HEADER = {"X_Token_Count": "8000,700"}
 
 
-def meet_other_process(harness, other="e-9"):
+def answer_from_other_process(harness, other="e-9"):
     """Let an engine answer that another process has its address."""
     caller = harness.open_caller()
-    caller.request("/stream/x", **SIZE)
+    caller.request("/stream/x", **TOKEN_COUNT_HEADER)
     server, head, _ = harness.take_request()
     server.receive(answer("r1", b"", 421, X_Server_Stamp=None, X_Instance_Id=other))
     harness.advance(0.01)
@@ -25,7 +25,7 @@
 def test_restarted_engine_is_used_while_the_list_cannot_be_read():
     harness = ForwardingHarness(engines=1)
     harness.source.behind = True
-    server, old = meet_other_process(harness)
+    server, old = answer_from_other_process(harness)
     adopted = harness.state.backends.find("e-9")
     assert adopted.entry.address == server.address
     assert adopted.entry.started_ms == 5
@@ -36,7 +36,7 @@
 
 def test_nothing_is_adopted_while_the_list_is_read():
     harness = ForwardingHarness(engines=1)
-    meet_other_process(harness)
+    answer_from_other_process(harness)
     assert harness.state.backends.find("e-9") is None
     assert harness.inspector.inspected == []
 
@@ -45,7 +45,7 @@
     harness = ForwardingHarness(engines=1)
     harness.source.behind = True
     harness.inspector.answer = InspectedServer(is_engine=False, started_ms=0)
-    meet_other_process(harness)
+    answer_from_other_process(harness)
     assert harness.state.backends.find("e-9") is None
 
 
@@ -64,9 +64,9 @@
     for is_confirmed in (True, False):
         harness = ForwardingHarness(engines=1)
         harness.source.behind = True
-        server, _ = meet_other_process(harness)
-        adoption = harness.gateway._adoption
-        adoption.review()
+        server, _ = answer_from_other_process(harness)
+        adopter = harness.gateway._adopter
+        adopter.remove_unconfirmed()
         harness.source.behind = False
         harness.state.replace_backends({})  # the list as it was before
         assert harness.state.backends.find("e-9") is not None
@@ -74,7 +74,7 @@
             entry = make_entry("e-9", "engines", started_ms=5, address=server.address)
             harness.state.put_backend(entry)
         harness.advance(3.0)
-        adoption.review()
+        adopter.remove_unconfirmed()
         assert (harness.state.backends.find("e-9") is not None) is is_confirmed
 
 
@@ -89,7 +89,7 @@
 def test_content_that_kills_one_server_after_the_other_is_stopped_for_all_callers():
     harness = ForwardingHarness(engines=9)
     caller = harness.open_caller()
-    caller.request("/stream/x", **SIZE)
+    caller.request("/stream/x", **TOKEN_COUNT_HEADER)
     for _ in range(3):
         kill_server(harness)
     if harness.count_waiting():  # sent before the last death was confirmed
@@ -97,11 +97,11 @@
     assert harness.count_waiting() == 0
     assert caller.read_answer()[0] == 502
     again = harness.open_caller()
-    again.request("/stream/x", request_id="r2", **SIZE)
+    again.request("/stream/x", request_id="r2", **TOKEN_COUNT_HEADER)
     assert harness.count_waiting() == 0
     assert again.read_answer()[0] == 503
     other = harness.open_caller()
-    other.request("/stream/x", request_id="r3", body=b"another", **SIZE)
+    other.request("/stream/x", request_id="r3", body=b"another", **TOKEN_COUNT_HEADER)
     assert harness.count_waiting() == 1
 
 
@@ -109,7 +109,9 @@
     # Callers that ask the same were once refused after one loss of a data centre.
     harness = ForwardingHarness(engines=9)
     for number in range(9):
-        harness.open_caller().request("/stream/x", request_id=f"r{number}", **SIZE)
+        harness.open_caller().request(
+            "/stream/x", request_id=f"r{number}", **TOKEN_COUNT_HEADER
+        )
     lost = {harness.find_address(name) for name in ("e-0", "e-3", "e-6")}
     harness.refused |= lost
     for server in [each for each in harness.connections if each.address in lost]:
@@ -123,7 +125,7 @@
     harness = ForwardingHarness(engines=6)
     for number in range(4):
         caller = harness.open_caller()
-        caller.request("/stream/x", request_id=f"r{number}", **SIZE)
+        caller.request("/stream/x", request_id=f"r{number}", **TOKEN_COUNT_HEADER)
         server, _, _ = harness.take_request()
         server.reset()
         harness.advance(1.0)
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_sharing.py
@@ -5,7 +5,7 @@
 from ebonyhaven_decisions import MemberRecord, MemberState
 from ebonyhaven_decisions.forwarding import EngineUse, PeerEngineUse, ServiceRetryBudget
 from ebonyhaven_node import Frame, FrameKind
-from ebonyhaven_node.forwarding._sharing import StateSharing, UseSharing
+from ebonyhaven_node.forwarding._sharing import EngineUseExchange, StateSynchronizer
 from twisted.internet.task import Clock
 
 from tests.forwarding.harness import ForwardingHarness
@@ -37,7 +37,7 @@
         self.members = [self.own, *map(make_record, names)]
         self.sent = []
         self.digests = []
-        self.withheld = frozenset()
+        self.excluded_entries = frozenset()
 
     def send(self, name, kind, payload):
         self.sent.append((name, kind, payload))
@@ -47,7 +47,7 @@
         self.digests.append(digest)
 
     def set_excluded_entries(self, names):
-        self.withheld = frozenset(names)
+        self.excluded_entries = frozenset(names)
 
 
 def build_use_sharing(*names):
@@ -56,7 +56,7 @@
     lost = []
     peers = PeerEngineUse(ttl_s=3.0)
     budget = ServiceRetryBudget(ratio=0.8, window_s=10.0, slack=150.0)
-    sharing = UseSharing(
+    sharing = EngineUseExchange(
         state=harness.state,
         peers=peers,
         budget=budget,
@@ -64,7 +64,7 @@
         channels=channels,
         reactor=clock,
         rng=random.Random(1),
-        on_news=lambda: None,
+        on_peer_use=lambda: None,
         on_loss=lost.append,
     )
     return harness, sharing, membership, channels, clock, lost, peers, budget
@@ -74,8 +74,8 @@
     harness, sharing, membership, _, clock, _, _, budget = build_use_sharing("n2", "n3")
     engine = harness.state.backends.find("e-0")
     engine.run_tokens, engine.prefill_tokens = 8700, 8000
-    sharing.note_change()
-    sharing.note_loss(harness.state.backends.find("e-1"))
+    sharing.schedule_update()
+    sharing.report_lost_server(harness.state.backends.find("e-1"))
     clock.advance(0.02)
     payload = [{"e-0": [8700, 0, 8000]}, ["e-1"]]
     assert sorted(membership.sent) == [
@@ -89,12 +89,12 @@
     harness, sharing, membership, _, clock, _, _, _ = build_use_sharing("n2")
     engine = harness.state.backends.find("e-0")
     engine.run_tokens = 5
-    sharing.note_change()
+    sharing.schedule_update()
     clock.advance(0.02)
     clock.advance(1.1)
     assert len(membership.sent) == 2
     engine.run_tokens = 0
-    sharing.note_change()
+    sharing.schedule_update()
     clock.advance(0.02)
     assert membership.sent[-1][2] == [{}, []]
     clock.pump([1.0] * 5)
@@ -124,7 +124,7 @@
 def build_state_sharing():
     harness = ForwardingHarness()
     membership, channels = FakeMembership("n2"), FakeChannels()
-    StateSharing(
+    StateSynchronizer(
         source=harness.source,
         membership=membership,
         channels=channels,
@@ -149,6 +149,6 @@
     _, membership, _ = build_state_sharing()
     digest = membership.digests[0]
     digest.merge("n2", [0, 0])
-    assert membership.withheld == {"n2"}
+    assert membership.excluded_entries == {"n2"}
     digest.merge("n2", [3, 7])
-    assert membership.withheld == frozenset()
+    assert membership.excluded_entries == frozenset()
