--- a/packages/node/src/ebonyhaven_node/forwarding/__init__.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/__init__.py
@@ -1,7 +1,8 @@
 """Forwarding of callers' requests and event streams to backend servers.
 
-The core knows no wire names: a deployment supplies dialects for callers and
-backend servers and a source of configuration and servers, see `interfaces`.
+The core contains no names of wire protocols. A deployment supplies dialects for
+callers and backend servers and a source of the configuration and the server list,
+see `interfaces`.
 """
 
 from ebonyhaven_node._failures import refuse
--- a/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
@@ -1,4 +1,4 @@
-"""Engines that restart while the list of servers cannot be read."""
+"""Discovery of engines that restart while the server list cannot be read."""
 
 from __future__ import annotations
 
@@ -11,20 +11,19 @@
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import ServerInspector, StateSource
 
-CONFIRMATION_TIMEOUT_S = (
-    2.5  # entries that lapsed are back within two seconds of the store
-)
+CONFIRMATION_TIMEOUT_S = 2.5  # entries expired in an outage return within 2 s
 
 _log = structlog.get_logger()
 
 
 class EngineAdopter:
-    """Takes restarted engines into use while the store is away.
+    """Adopts restarted engines while the server list cannot be read.
 
-    An engine that restarts has a new id, which only the list tells. While the list
-    cannot be read, an engine that answers at a known address with another id is
-    asked what it is. It is used only where one service alone has engines, so that
-    it cannot belong to another one, and until the list is back without it.
+    A restarted engine has a new id, which is normally read from the list. While the
+    list is unavailable, a process that answers at a known address with another id is
+    inspected. It is adopted only if exactly one service has engines, as it could
+    belong to another service otherwise. It is removed if the list, once readable
+    again, does not contain it.
 
     Parameters
     ----------
@@ -51,12 +50,12 @@
         self._last_behind_at = clock()
 
     def inspect_replacement(self, backend: Backend, server_id: str) -> None:
-        """Ask the process that answered in place of a known one.
+        """Inspect the process that answered at the address of a known server.
 
         Parameters
         ----------
         backend : Backend
-            The known one.
+            The known server.
         server_id : str
             Id of the process that answered.
         """
@@ -65,13 +64,16 @@
         if not self._is_only_engine_service(backend.entry.service):
             return
         self._inspected_ids.add(server_id)
-        asking = ensureDeferred(self._inspect_and_adopt(backend, server_id))
-        asking.addErrback(
+        inspection = ensureDeferred(self._inspect_and_adopt(backend, server_id))
+        inspection.addErrback(
             lambda failure: _log.error("adoption_failed", error=str(failure.value))
         )
 
     def remove_unconfirmed(self) -> None:
-        """Drop what the list did not confirm; called a few times a second."""
+        """Remove adopted engines that the list has not confirmed in time.
+
+        To be called periodically.
+        """
         now = self._clock()
         if self._source.is_behind():
             self._last_behind_at = now
@@ -80,13 +82,13 @@
             self._state.remove_adopted_backends()
 
     async def _inspect_and_adopt(self, backend: Backend, server_id: str) -> None:
-        found = await self._inspector.inspect(backend.entry.address)
-        if found is None or not found.is_engine:
+        inspected = await self._inspector.inspect(backend.entry.address)
+        if inspected is None or not inspected.is_engine:
             _log.info("process_not_adopted", server=server_id)
             return
         entry = BackendEntry(
             server_id=server_id,
-            started_ms=found.started_ms,
+            started_ms=inspected.started_ms,
             service=backend.entry.service,
             address=backend.entry.address,
             data_centre=backend.entry.data_centre,
@@ -100,9 +102,9 @@
         configuration = self._state.configuration
         if configuration is None:
             return False
-        with_engines = [
+        engine_services = [
             each.name
             for each in configuration.services.values()
             if each.engine is not None
         ]
-        return with_engines == [service]
+        return engine_services == [service]
--- a/packages/node/src/ebonyhaven_node/forwarding/_filters.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_filters.py
@@ -1,4 +1,4 @@
-"""Filters of the forwarding path, outermost first."""
+"""Filters of the forwarding path, in the order in which they are applied."""
 
 from __future__ import annotations
 
@@ -37,17 +37,20 @@
 
 @attrs.define(slots=True, eq=False)
 class RequestContext:
-    """A request with what the filters found out about it.
+    """A request with the results of the filters applied so far.
 
     Parameters
     ----------
     exchange : Exchange
     request : ForwardRequest or None
-        Set by decoding.
+        Set by `DecodeFilter`.
     configuration : RoutingConfiguration or None
-        The version under which the request is handled, from start to end.
+        Version that applies to the whole request, even if a newer one is activated
+        meanwhile. Set by `RouteFilter`.
     route : Route or None
+        Set by `RouteFilter`.
     workspace : Workspace or None
+        Set by `IdentifyFilter`; None for an anonymous request.
     """
 
     exchange: Exchange
@@ -58,7 +61,7 @@
 
 
 class ReportFilter(Filter[RequestContext]):
-    """Counts and logs how requests end, and answers those that fail.
+    """Counts requests by outcome, and logs and answers failed ones.
 
     Parameters
     ----------
@@ -118,7 +121,7 @@
 
 
 class DecodeFilter(Filter[RequestContext]):
-    """Decodes the request.
+    """Decodes the request with the dialect of callers.
 
     Parameters
     ----------
@@ -137,7 +140,7 @@
 
 
 class RouteFilter(Filter[RequestContext]):
-    """Finds the route in the configuration in force.
+    """Selects the route of the request in the active configuration.
 
     Parameters
     ----------
@@ -166,7 +169,7 @@
 
 
 class IdentifyFilter(Filter[RequestContext]):
-    """Finds out whose request it is."""
+    """Determines the workspace of a request from its API key."""
 
     async def handle(
         self, work: RequestContext, proceed: Proceed[RequestContext]
@@ -183,7 +186,7 @@
 
 
 class CrashFilter(Filter[RequestContext]):
-    """Refuses contents that killed each server which began to work on them.
+    """Rejects a request whose content crashed the servers that started to run it.
 
     Parameters
     ----------
@@ -204,12 +207,12 @@
 
 
 class AdmitFilter(Filter[RequestContext]):
-    """Refuses requests that would not end before this instance does.
+    """Rejects requests that could not finish before this instance stops.
 
     Parameters
     ----------
     accepts : callable
-        Returns for a `Route` whether this instance still takes its requests.
+        Returns whether this instance still accepts requests of a `Route`.
     """
 
     def __init__(self, accepts: Callable[[Route], bool]):
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -1,4 +1,4 @@
-"""Composition of the forwarding path of one instance."""
+"""Composition root of the forwarding path of an instance."""
 
 from __future__ import annotations
 
@@ -67,18 +67,18 @@
     StateSource,
 )
 
-LISTEN_BACKLOG = 512  # connections that wait to be accepted in a burst
-STREAM_ADMISSION_GRACE_SHARE = 0.25  # of the grace: a stream that starts later is cut
-SHUTDOWN_MARGIN_S = 0.6  # before the end of the grace, to close by ourselves
+LISTEN_BACKLOG = 512  # connections not yet accepted during a burst
+STREAM_ADMISSION_GRACE_SHARE = 0.25  # a stream started later would be cut off
+SHUTDOWN_MARGIN_S = 0.6  # closes connections before the process is killed
 DRAIN_POLL_INTERVAL_S = 0.05
-MAX_DEATHS_PER_CONTENT = 3  # one content may kill three servers before it is stopped
+MAX_DEATHS_PER_CONTENT = 3  # server crashes before a content is rejected
 
 _log = structlog.get_logger()
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class GatewaySettings:
-    """What a deployment decides about an instance.
+    """Settings of an instance, supplied by the deployment.
 
     Parameters
     ----------
@@ -88,9 +88,9 @@
     seeds : mapping of str to str
         Control addresses of other instances by name.
     grace_s : float
-        Time from the request to stop until the process is killed.
+        Time between the request to stop and the kill of the process, seconds.
     retry_budget_ratio, retry_budget_window_s, retry_budget_slack : float
-        Bound on repeats, see `ServiceRetryBudget`.
+        Limit on retries, see `ServiceRetryBudget`.
     """
 
     instance: str
@@ -115,7 +115,7 @@
     caller_dialect : CallerDialect
     backend_dialect : BackendDialect
     build_source : callable
-        Returns the `StateSource` for a `ForwardingState` and `ConnectionPool`.
+        Returns the `StateSource` for a `ForwardingState` and a `ConnectionPool`.
     build_inspector : callable
         Returns the `ServerInspector` for a `ConnectionPool`.
     build_copier : callable
@@ -192,16 +192,16 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether this instance was asked to stop."""
+        """Whether this instance is shutting down."""
         return self._leaving_since is not None
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should use this instance."""
+        """Whether this instance is ready to serve callers."""
         return self.state.is_complete and not self.is_leaving
 
     def start(self) -> None:
-        """Listen for callers and follow the source."""
+        """Listen for callers, join the membership and follow the state source."""
         self._start_membership()
         host, _, port = self._settings.caller_address.rpartition(":")
         listener = self._reactor.listenTCP(
@@ -219,7 +219,7 @@
         _log.info("instance_started", instance=self._settings.instance)
 
     def watch_logs(self, losses: LogLosses) -> None:
-        """Show lost log lines as a metric, and hand over lines that wait.
+        """Export lost log lines as a metric and write buffered lines periodically.
 
         Parameters
         ----------
@@ -233,14 +233,16 @@
         return self.membership.choose_entries()
 
     def render_metrics(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self.registry)
 
     async def leave(self) -> None:
-        """Take no new callers, let running requests end, and close everything.
+        """Shut down gracefully.
 
-        Callers may hold an entry list with this instance for several times its
-        life, so requests are answered until the grace is nearly over.
+        Callers may use an entry list with this instance for several times its time
+        to live, so the instance stays reachable until `SHUTDOWN_MARGIN_S` before the
+        end of the grace period and rejects only requests that could not finish
+        in time.
         """
         if self.is_leaving:
             return
@@ -265,13 +267,13 @@
             self._log_losses.drain()
 
     def _accepts(self, route: Route) -> bool:
-        """Tell whether a request that comes now ends before this instance does."""
+        """Return whether a request that arrives now can finish before shutdown."""
         if self._leaving_since is None:
             return True
         now = self._clock()
         if route.kind is RequestKind.STREAM:
-            share_s = STREAM_ADMISSION_GRACE_SHARE * self._settings.grace_s
-            return now < self._leaving_since + share_s
+            admission_s = STREAM_ADMISSION_GRACE_SHARE * self._settings.grace_s
+            return now < self._leaving_since + admission_s
         return now + route.timeout_s < self._get_closing_time()
 
     def _get_closing_time(self) -> float:
--- a/packages/node/src/ebonyhaven_node/forwarding/_metrics.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of the forwarding path."""
+"""Metrics of the forwarding path."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class ForwardingMetrics:
     """Metrics of requests, attempts and resumes.
 
-    Labels are kinds and outcomes, never names of callers, routes or servers, so
-    that their number stays the same at any size.
+    Label values are kinds and outcomes, never names of callers, routes or servers, so
+    that the number of time series doesn't grow with the deployment.
 
     Parameters
     ----------
@@ -87,26 +87,27 @@
         is_behind: Callable[[], bool],
         count_connections: Callable[[], int],
     ) -> None:
-        """Show what the instance believes, read when metrics are fetched.
+        """Register gauges of the instance's state, read at each scrape.
 
         Parameters
         ----------
         read_version : callable
-            Returns the version of the configuration in force.
+            Returns the version of the active configuration, 0 for none.
         count_backends, count_suspects : callable
-            Return the listed servers, and those that get no new work.
+            Return the number of listed servers, and of those excluded from new
+            requests.
         is_behind : callable
-            Returns whether the store does not answer.
+            Returns whether the store is unresponsive.
         count_connections : callable
-            Returns the connections to servers opened since the start.
+            Returns the number of connections to servers opened since startup.
         """
-        shown = (
+        gauges = (
             ("configuration_version", "Configuration in force.", read_version),
             ("backends", "Backend servers on the list.", count_backends),
             ("backends_suspect", "Servers that get no new work.", count_suspects),
             ("store_behind", "Whether the store does not answer.", is_behind),
             ("connections_opened", "Connections to servers.", count_connections),
         )
-        for name, text, read in shown:
-            gauge = Gauge(f"ebonyhaven_{name}", text, registry=self.registry)
+        for name, help_text, read in gauges:
+            gauge = Gauge(f"ebonyhaven_{name}", help_text, registry=self.registry)
             gauge.set_function(read)
--- a/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
@@ -1,4 +1,4 @@
-"""What instances that forward requests tell each other."""
+"""Exchange of engine use and state between the instances that forward requests."""
 
 from __future__ import annotations
 
@@ -25,32 +25,35 @@
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import StateSource
 
-SEND_DELAY_S = 0.01  # changes that come together go out together
-USE_REFRESH_INTERVAL_S = 1.0  # statements are dropped after three times this
-MAX_RECEIVERS = 16  # bounds the traffic where there are many instances
-STATE_REQUEST_INTERVAL_S = 0.4  # between two questions for a newer state
+SEND_DELAY_S = 0.01  # batches changes that occur together
+USE_REFRESH_INTERVAL_S = 1.0  # a report expires after three intervals
+MAX_RECEIVERS = 16  # per report; bounds the traffic in a large deployment
+STATE_REQUEST_INTERVAL_S = 0.4  # minimum time between requests to any peers
 
 _log = structlog.get_logger()
 
 
 class EngineUseExchange:
-    """Tells other instances what this one occupies on engines.
+    """Reports the tokens that this instance occupies on engines to its peers.
+
+    A report is sent after each change and, while any tokens are occupied, at least
+    every `USE_REFRESH_INTERVAL_S`. It also lists servers found lost since the last one.
 
     Parameters
     ----------
     state : ForwardingState
     peers : PeerEngineUse
-        Takes what others tell.
+        Records the reports of peers.
     budget : ServiceRetryBudget
-        Is told how many instances there are.
+        Its number of instances is updated before each report.
     membership : MembershipController
     channels : Channels
     reactor : IReactorTime
     rng : random.Random
     on_peer_use : callable
-        Called when others told something.
+        Called after each report of a peer.
     on_loss : callable
-        Called with each server that another instance found lost.
+        Called with each server that a peer reports as lost.
     """
 
     def __init__(
@@ -80,14 +83,14 @@
         channels.subscribe(FrameKind.ENGINE_USE, self._receive)
 
     def schedule_update(self) -> None:
-        """Tell the others soon."""
+        """Schedule a report within `SEND_DELAY_S`."""
         if self._timer is None or not self._timer.active():
             self._timer = self._reactor.callLater(SEND_DELAY_S, self._send)
         elif self._timer.getTime() - self._reactor.seconds() > SEND_DELAY_S:
             self._timer.reset(SEND_DELAY_S)
 
     def report_lost_server(self, backend: Backend) -> None:
-        """Tell the others soon that a server is lost.
+        """Schedule a report that a server is lost.
 
         Parameters
         ----------
@@ -97,7 +100,7 @@
         self.schedule_update()
 
     def stop(self) -> None:
-        """Tell nothing more."""
+        """Cancel scheduled reports."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
@@ -125,10 +128,10 @@
 
     def _receive(self, frame: Frame) -> None:
         try:
-            told, lost = frame.payload
+            use_by_server, lost = frame.payload
             uses = {
                 str(name): EngineUse(*(int(value) for value in values))
-                for name, values in told.items()
+                for name, values in use_by_server.items()
             }
         except (AttributeError, TypeError, ValueError) as error:
             _log.warning("engine_use_malformed", peer=frame.sender, reason=str(error))
@@ -139,7 +142,7 @@
         self._on_peer_use()
 
     def _handle_lost_server(self, server_id: str) -> None:
-        """Believe another instance unless the server was heard here meanwhile."""
+        """Pass on a report of a loss unless the server sent data here recently."""
         backend = self._state.backends.find(server_id)
         if backend is None:
             return
@@ -148,7 +151,7 @@
 
 
 class StateVersionDigest(Digest):
-    """Tells with each heartbeat which versions this instance holds.
+    """Adds the versions of this instance's state to each heartbeat.
 
     Parameters
     ----------
@@ -179,7 +182,7 @@
 
 
 class StateSynchronizer:
-    """Gets configuration and server list from peers while the store is away.
+    """Fetches configuration and server list from peers while the store is unresponsive.
 
     Parameters
     ----------
@@ -220,7 +223,7 @@
         self._membership.send(sender, FrameKind.STATE_REQUEST, list(own))
 
     def _update_readiness(self, sender: str, versions: tuple[int, int]) -> None:
-        """Offer no instance to callers that holds no state to serve them with."""
+        """Exclude peers without configuration or server list from entry lists."""
         unready = (
             self._unready | {sender} if 0 in versions else self._unready - {sender}
         )
--- a/packages/node/src/ebonyhaven_node/forwarding/_state.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_state.py
@@ -1,4 +1,4 @@
-"""Configuration and backend servers that the forwarding path works with."""
+"""Active configuration and backend servers of the forwarding path."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ForwardingState:
-    """Configuration in force, backend servers and who wants to hear of changes.
+    """Active configuration and backend servers, with notification of changes.
 
     Parameters
     ----------
@@ -35,22 +35,22 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether requests can be served."""
+        """Whether both a configuration and a server list are available."""
         return self.configuration is not None and self.has_backend_list
 
     @property
     def limits(self) -> CallerLimits:
-        """Bounds on callers."""
+        """Limits on callers in the active configuration, or the defaults."""
         if self.configuration is None:
             return CallerLimits()
         return self.configuration.limits
 
     def observe(self, observer: Callable[[], None]) -> None:
-        """Call ``observer`` after each change of servers or configuration."""
+        """Subscribe ``observer`` to changes of servers and configuration."""
         self._observers.append(observer)
 
     def apply_configuration(self, configuration: RoutingConfiguration) -> None:
-        """Put a configuration in force, unless a later one is.
+        """Activate a configuration if it is newer than the active one.
 
         Parameters
         ----------
@@ -69,7 +69,7 @@
         self._notify_observers()
 
     def put_backend(self, entry: BackendEntry) -> None:
-        """Take over the entry of a backend server.
+        """Add a backend server or update its entry.
 
         Parameters
         ----------
@@ -91,7 +91,7 @@
         self._notify_observers()
 
     def remove_backend(self, server_id: str) -> None:
-        """Take note that an entry is gone.
+        """Remove a backend server that is no longer listed.
 
         Parameters
         ----------
@@ -105,7 +105,7 @@
         self._notify_observers()
 
     def adopt_backend(self, entry: BackendEntry) -> None:
-        """Use a process that was met while the list could not be read.
+        """Add a process that was discovered while the list could not be read.
 
         Parameters
         ----------
@@ -117,24 +117,24 @@
         self._adopted.add(entry.server_id)
 
     def remove_adopted_backends(self) -> None:
-        """Drop the processes that the list still lacks although it is read again."""
+        """Remove adopted processes that the list, readable again, does not contain."""
         for server_id in list(self._adopted):
             self._adopted.discard(server_id)
             self.remove_backend(server_id)
 
     def replace_backends(self, entries: Mapping[str, BackendEntry]) -> None:
-        """Take over the whole list.
+        """Replace all backend servers except adopted ones.
 
         Parameters
         ----------
         entries : mapping of str to BackendEntry
         """
-        gone = [
+        removed = [
             each
             for each in self.backends
             if each.server_id not in entries and each.server_id not in self._adopted
         ]
-        for backend in gone:
+        for backend in removed:
             self.remove_backend(backend.server_id)
         for entry in entries.values():
             self.put_backend(entry)
--- a/packages/node/src/ebonyhaven_node/forwarding/interfaces.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/interfaces.py
@@ -1,4 +1,4 @@
-"""What a deployment supplies to the forwarding core."""
+"""Interfaces that a deployment implements for the forwarding core."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class CallerDialect(abc.ABC):
-    """How callers speak to an instance."""
+    """Wire protocol between callers and an instance."""
 
     @abc.abstractmethod
     def read_request(self, exchange: Exchange) -> ForwardRequest:
@@ -39,7 +39,7 @@
 
     @abc.abstractmethod
     def describe_outcome(self, outcome: Outcome) -> tuple[Headers, bytes]:
-        """Return headers and body of an answer of this instance's own.
+        """Return headers and body of an answer that this instance generates itself.
 
         Parameters
         ----------
@@ -52,19 +52,19 @@
 
 
 class BackendDialect(abc.ABC):
-    """How an instance speaks to backend servers."""
+    """Wire protocol between an instance and backend servers."""
 
     @abc.abstractmethod
     def write_headers(
         self, request: ForwardRequest, server_id: str, plan: AttemptPlan
     ) -> Headers:
-        """Return the headers of a request for one server.
+        """Return the headers of a request to one server.
 
         Parameters
         ----------
         request : ForwardRequest
         server_id : str
-            The only server that may run it.
+            The only server that may run the request.
         plan : AttemptPlan
 
         Returns
@@ -93,7 +93,7 @@
         Parameters
         ----------
         block : bytes
-            The whole event.
+            The complete event.
 
         Returns
         -------
@@ -102,13 +102,13 @@
 
 
 class InspectedServer(NamedTuple):
-    """What a server says of itself.
+    """Description that a backend server returns of itself.
 
     Parameters
     ----------
     is_engine : bool
     started_ms : int
-        Start of its process, Unix milliseconds; 0 if it does not tell.
+        Start of its process, Unix milliseconds; 0 if unknown.
     """
 
     is_engine: bool
@@ -116,11 +116,11 @@
 
 
 class ServerInspector(abc.ABC):
-    """Asks backend servers what they are."""
+    """Queries backend servers for their type and start time."""
 
     @abc.abstractmethod
     async def inspect(self, address: str) -> InspectedServer | None:
-        """Ask the server at an address.
+        """Query the server at an address.
 
         Parameters
         ----------
@@ -130,74 +130,74 @@
         Returns
         -------
         InspectedServer or None
-            None when it gave no answer that can be understood.
+            None if there was no valid answer.
         """
 
 
 class RunCopier(abc.ABC):
-    """Asks engines to copy the memory of a run to another engine."""
+    """Requests copies of the memory of runs on other engines."""
 
     @abc.abstractmethod
     async def copy_run(
         self, *, source: str, request_id: str, target: str
     ) -> str | None:
-        """Ask the engine of a run for a copy; the run goes on meanwhile.
+        """Request a copy of a run, which continues meanwhile.
 
         Parameters
         ----------
         source, target : str
-            Addresses of the run's engine and of the copy's.
+            Addresses of the engine of the run and of the engine that receives the copy.
         request_id : str
 
         Returns
         -------
         str or None
-            Name of the copy, None if there is none.
+            Handle of the copy, None if there is none.
         """
 
     @abc.abstractmethod
     async def drop_copy(self, *, source: str, handle: str) -> None:
-        """Free a copy that is not needed any more.
+        """Release a copy that is no longer needed.
 
         Parameters
         ----------
         source : str
-            Address of the run's engine.
+            Address of the engine of the run.
         handle : str
-            Name of the copy.
+            Result of `copy_run`.
         """
 
 
 class StateSource(abc.ABC):
-    """Where configuration and list of backend servers come from.
+    """Source of the configuration and the list of backend servers.
 
-    It calls the `ForwardingState` that it was built with whenever it learns
-    something, and never goes backward.
+    It updates the `ForwardingState` that it was built with on each change and never
+    replaces a newer version by an older one.
     """
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Begin to follow the source."""
+        """Start following the source."""
 
     @abc.abstractmethod
     def stop(self) -> None:
-        """Stop following it."""
+        """Stop following the source."""
 
     @abc.abstractmethod
     def read_version(self) -> tuple[int, int]:
-        """Return the versions held: configuration and server list, 0 for none."""
+        """Return the versions of configuration and server list, 0 for none."""
 
     @abc.abstractmethod
     def is_behind(self) -> bool:
-        """Tell whether the source has not answered for a while."""
+        """Return whether the source has not answered for a while."""
 
     @abc.abstractmethod
     def export(self) -> object:
-        """Return all that is held as a JSON value, for another instance."""
+        """Return configuration and server list as a JSON value for a peer."""
 
     @abc.abstractmethod
     def merge(self, payload: object) -> None:
-        """Take over what is newer in the export of another instance.
+        """Apply what is newer in the export of a peer.
 
         Parameters
         ----------
@@ -207,5 +207,5 @@
         Raises
         ------
         TypeError, ValueError, KeyError
-            If it is malformed.
+            If the payload is malformed.
         """
--- a/tests/forwarding/test_adoption.py
+++ b/tests/forwarding/test_adoption.py
@@ -13,7 +13,7 @@
 
 
 def answer_from_other_process(harness, other="e-9"):
-    """Let an engine answer that another process has its address."""
+    """Have an engine answer with the id of another process."""
     caller = harness.open_caller()
     caller.request("/stream/x", **TOKEN_COUNT_HEADER)
     server, head, _ = harness.take_request()
@@ -22,7 +22,7 @@
     return server, decode_headers(head)["x-expect-instance"]
 
 
-def test_restarted_engine_is_used_while_the_list_cannot_be_read():
+def test_restarted_engine_is_adopted_while_the_list_cannot_be_read():
     harness = ForwardingHarness(engines=1)
     harness.source.behind = True
     server, old = answer_from_other_process(harness)
@@ -34,14 +34,14 @@
     assert decode_headers(head)["x-expect-instance"] == "e-9"
 
 
-def test_nothing_is_adopted_while_the_list_is_read():
+def test_nothing_is_adopted_while_the_list_can_be_read():
     harness = ForwardingHarness(engines=1)
     answer_from_other_process(harness)
     assert harness.state.backends.find("e-9") is None
     assert harness.inspector.inspected == []
 
 
-def test_process_that_is_no_engine_is_not_adopted():
+def test_process_other_than_an_engine_is_not_adopted():
     harness = ForwardingHarness(engines=1)
     harness.source.behind = True
     harness.inspector.answer = InspectedServer(is_engine=False, started_ms=0)
@@ -49,7 +49,7 @@
     assert harness.state.backends.find("e-9") is None
 
 
-def test_short_services_are_never_adopted():
+def test_servers_of_plain_services_are_not_adopted():
     harness = ForwardingHarness(plain=1)
     harness.source.behind = True
     caller = harness.open_caller()
@@ -60,7 +60,7 @@
     assert harness.state.backends.find("p-9") is None
 
 
-def test_adopted_engine_stays_when_the_list_confirms_it_and_goes_otherwise():
+def test_adopted_engine_is_removed_unless_the_list_confirms_it():
     for is_confirmed in (True, False):
         harness = ForwardingHarness(engines=1)
         harness.source.behind = True
@@ -68,7 +68,7 @@
         adopter = harness.gateway._adopter
         adopter.remove_unconfirmed()
         harness.source.behind = False
-        harness.state.replace_backends({})  # the list as it was before
+        harness.state.replace_backends({})  # not yet listed again
         assert harness.state.backends.find("e-9") is not None
         if is_confirmed:
             entry = make_entry("e-9", "engines", started_ms=5, address=server.address)
@@ -79,14 +79,14 @@
 
 
 def kill_server(harness):
-    """Let the server that has the request die for some seconds."""
+    """Reset the connection of the server that has the request and refuse new ones."""
     server, _, _ = harness.take_request()
     harness.refused.add(server.address)
     server.reset()
     harness.advance(0.8)
 
 
-def test_content_that_kills_one_server_after_the_other_is_stopped_for_all_callers():
+def test_content_that_crashes_servers_repeatedly_is_rejected_for_all_callers():
     harness = ForwardingHarness(engines=9)
     caller = harness.open_caller()
     caller.request("/stream/x", **TOKEN_COUNT_HEADER)
@@ -105,8 +105,9 @@
     assert harness.count_waiting() == 1
 
 
-def test_loss_of_a_data_centre_is_no_evidence_against_a_popular_content():
-    # Callers that ask the same were once refused after one loss of a data centre.
+def test_loss_of_a_data_centre_is_no_crash_evidence_against_a_frequent_content():
+    # The loss of one data centre was counted as several crashes by the same content,
+    # and further requests with that content were rejected.
     harness = ForwardingHarness(engines=9)
     for number in range(9):
         harness.open_caller().request(
@@ -121,7 +122,7 @@
     assert not harness.gateway._crashes._ledger.read_evidence()
 
 
-def test_reset_by_a_server_that_lives_is_no_evidence():
+def test_connection_reset_by_a_live_server_is_no_crash_evidence():
     harness = ForwardingHarness(engines=6)
     for number in range(4):
         caller = harness.open_caller()
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_sharing.py
@@ -70,7 +70,7 @@
     return harness, sharing, membership, channels, clock, lost, peers, budget
 
 
-def test_use_and_losses_are_told_to_all_instances_together():
+def test_engine_use_and_losses_are_sent_to_all_instances_in_one_message():
     harness, sharing, membership, _, clock, _, _, budget = build_use_sharing("n2", "n3")
     engine = harness.state.backends.find("e-0")
     engine.run_tokens, engine.prefill_tokens = 8700, 8000
@@ -85,7 +85,7 @@
     assert budget.instances == 3
 
 
-def test_use_is_repeated_while_there_is_any_and_its_end_is_told_once():
+def test_nonzero_use_is_resent_periodically_and_zero_use_once():
     harness, sharing, membership, _, clock, _, _, _ = build_use_sharing("n2")
     engine = harness.state.backends.find("e-0")
     engine.run_tokens = 5
@@ -101,7 +101,7 @@
     assert len(membership.sent) == 3
 
 
-def test_what_a_peer_tells_is_taken_over_and_malformed_news_are_not():
+def test_reports_of_a_peer_are_recorded_unless_malformed():
     _, _, _, channels, _, lost, peers, _ = build_use_sharing("n2")
     receive = channels.handlers[FrameKind.ENGINE_USE]
     receive(
@@ -114,7 +114,7 @@
     assert peers.sum_by_server(now) == {"e-0": EngineUse(1, 2, 3)}
 
 
-def test_statements_of_a_silent_peer_expire():
+def test_reports_of_a_silent_peer_expire():
     peers = PeerEngineUse(ttl_s=3.0)
     peers.record("n2", {"e-0": EngineUse(1, 0, 0)}, 10.0)
     assert peers.sum_by_server(12.9)
@@ -133,7 +133,7 @@
     return harness, membership, channels
 
 
-def test_newer_state_is_asked_for_only_while_the_store_does_not_answer():
+def test_newer_state_is_requested_only_while_the_store_is_unresponsive():
     harness, membership, _ = build_state_sharing()
     digest = membership.digests[0]
     digest.merge("n2", [2, 9])
@@ -145,7 +145,7 @@
     assert membership.sent == [("n2", FrameKind.STATE_REQUEST, [1, 1])]
 
 
-def test_instance_without_state_is_not_offered_to_callers():
+def test_instance_without_state_is_excluded_from_entry_lists():
     _, membership, _ = build_state_sharing()
     digest = membership.digests[0]
     digest.merge("n2", [0, 0])
