--- a/packages/node/src/ebonyhaven_node/__init__.py
+++ b/packages/node/src/ebonyhaven_node/__init__.py
@@ -1,4 +1,4 @@
-"""The node that every instance runs."""
+"""Node process that runs on every instance."""
 
 from ebonyhaven_node._channels import ChannelMetrics, ChannelOptions, Channels
 from ebonyhaven_node._digests import Digest, DigestSet, TableDigest, fit_entries
--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -1,4 +1,4 @@
-"""Composition root: builds the parts of a node and wires them."""
+"""Composition root of a node: builds its components and connects them."""
 
 from __future__ import annotations
 
@@ -54,17 +54,17 @@
 from ebonyhaven_node._sharing import SchedulingDigestExchange
 from ebonyhaven_node._web import CallerInterface, InstanceState
 
-CLAIM_TIMEOUT_S = 10.0  # a slow table still confirms claims
-DRAIN_CHECK_S = 0.1
-LEAVING_NOTICE_S = 1.0
-START_CHECK_S = 0.02
-START_GRACE_S = 3.0
+CLAIM_TIMEOUT_S = 10.0  # a slow table still confirms claims within this time
+STREAM_POLL_INTERVAL_S = 0.1
+LEAVE_NOTICE_S = 1.0
+CONFIGURATION_POLL_INTERVAL_S = 0.02
+CONFIGURATION_TIMEOUT_S = 3.0
 
 _log = structlog.get_logger()
 
 
 class Node:
-    """One node process with all its parts.
+    """Node process with all its components.
 
     Parameters
     ----------
@@ -87,7 +87,7 @@
         )
 
     def start(self) -> None:
-        """Start the controllers and listen for callers."""
+        """Start the controllers and accept connections from callers."""
         self._channels = self._build_channels()
         self._membership = self._build_membership()
         transport = PlatformTransport(self._reactor, self._settings.platform_address)
@@ -108,38 +108,38 @@
         _log.info("node_started", instance=self._settings.instance)
 
     def attach_log_output(self, log_output: LogOutput) -> None:
-        """Show lost log lines as a metric, and hand over lines that wait.
+        """Export the number of lost log lines and write pending lines periodically.
 
         Parameters
         ----------
         log_output : LogOutput
         """
         log_output.register_metric(self._registry)
-        draining = task.LoopingCall(log_output.drain)
-        draining.clock = self._reactor
-        draining.start(DRAIN_INTERVAL_S)
-        self._stack.callback(draining.stop)
+        drain_loop = task.LoopingCall(log_output.drain)
+        drain_loop.clock = self._reactor
+        drain_loop.start(DRAIN_INTERVAL_S)
+        self._stack.callback(drain_loop.stop)
 
     async def wait_for_configuration(self) -> None:
-        """Wait until a configuration is in force, at most `START_GRACE_S`.
+        """Wait until a configuration is active, at most `CONFIGURATION_TIMEOUT_S`.
 
-        An instance that has none after that goes on listening: it refuses
-        requests with ``not_run`` and takes a configuration when it can.
+        An instance without a configuration keeps listening: it refuses requests
+        with ``not_run`` until a configuration becomes active.
         """
-        deadline = time.monotonic() + START_GRACE_S
+        deadline = time.monotonic() + CONFIGURATION_TIMEOUT_S
         while self._configuration.version == 0 and time.monotonic() < deadline:
-            await task.deferLater(self._reactor, START_CHECK_S)
+            await task.deferLater(self._reactor, CONFIGURATION_POLL_INTERVAL_S)
 
     async def leave(self) -> None:
-        """Refuse new work, let running streams end, and close everything."""
+        """Refuse new runs, wait for open streams, and stop all components."""
         if self._state.leaving:
             return
         self._state.leaving = True
         self._membership.leave()
         _log.info("node_leaving", open_runs=len(self._runs.active()))
-        await task.deferLater(self._reactor, LEAVING_NOTICE_S)
+        await task.deferLater(self._reactor, LEAVE_NOTICE_S)
         while any(run.sinks for run in self._runs.active()):
-            await task.deferLater(self._reactor, DRAIN_CHECK_S)
+            await task.deferLater(self._reactor, STREAM_POLL_INTERVAL_S)
         await self._pools.release()
         await self._membership.depart()
         self._stack.close()
@@ -217,7 +217,9 @@
                 ValidateFilter(),
                 AttachFilter(
                     registry=self._runs,
-                    parts=self._build_driver_parts(table, metrics, scheduling),
+                    driver_dependencies=self._build_driver_dependencies(
+                        table, metrics, scheduling
+                    ),
                     status=self._state,
                     rng=self._rng,
                 ),
@@ -283,7 +285,7 @@
         self._stack.callback(detector.stop)
         return detector
 
-    def _build_driver_parts(
+    def _build_driver_dependencies(
         self,
         table: TableClient,
         metrics: RelayMetrics,
--- a/packages/node/src/ebonyhaven_node/_failures.py
+++ b/packages/node/src/ebonyhaven_node/_failures.py
@@ -1,4 +1,4 @@
-"""Failures that an instance tells callers itself."""
+"""Failures that an instance itself reports to callers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     status: int = 503,
     retry_after_s: float | None = None,
 ) -> RequestFailure:
-    """Return the failure that ends a run.
+    """Return a failure with the given outcome.
 
     Parameters
     ----------
@@ -45,16 +45,12 @@
     peer: str = "self",
     retry_after_s: float | None = None,
 ) -> RequestFailure:
-    """Return the failure of a request that was not run and never will be.
+    """Return the failure of a request that was not run and will not be run.
 
     Parameters
     ----------
-    reason : str
-    step : str
-    status : int
-    peer : str
-    retry_after_s : float or None
-        When coming back may help, seconds.
+    reason, step, status, peer, retry_after_s
+        See `Outcome`.
 
     Returns
     -------
@@ -73,14 +69,12 @@
 def make_unknown_failure(
     reason: str, *, step: str, peer: str, status: int = 502
 ) -> RequestFailure:
-    """Return the failure of a request that may have run.
+    """Return the failure of a request that may have been run.
 
     Parameters
     ----------
-    reason : str
-    step : str
-    peer : str
-    status : int
+    reason, step, peer, status
+        See `Outcome`.
 
     Returns
     -------
--- a/packages/node/src/ebonyhaven_node/_filter_chain.py
+++ b/packages/node/src/ebonyhaven_node/_filter_chain.py
@@ -1,4 +1,4 @@
-"""Filters that a request passes through, for any kind of request."""
+"""Chain of filters that handle a request, generic over the request context."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
     @abc.abstractmethod
     async def handle(self, work: Work, proceed: Proceed[Work]) -> None:
-        """Do this step, then usually the rest of the chain.
+        """Handle the request and usually call ``proceed``.
 
         Parameters
         ----------
         work : object
-            The request with what earlier steps found out.
+            Context of the request, with the results of earlier filters.
         proceed : callable
-            Runs the rest of the chain.
+            Runs the remaining filters.
 
         Raises
         ------
@@ -31,11 +31,11 @@
 
 
 async def _finish(work: object) -> None:
-    """End of a chain."""
+    """Do nothing at the end of a chain."""
 
 
 def build_chain(filters: Sequence[Filter[Work]]) -> Proceed[Work]:
-    """Join filters into one callable; the first is the outermost.
+    """Combine filters into one callable; the first filter is the outermost.
 
     Parameters
     ----------
@@ -46,13 +46,13 @@
     callable
     """
     proceed: Proceed = _finish
-    for step in reversed(filters):
-        proceed = _join(step, proceed)
+    for each in reversed(filters):
+        proceed = _prepend(each, proceed)
     return proceed
 
 
-def _join(step: Filter[Work], rest: Proceed[Work]) -> Proceed[Work]:
+def _prepend(first: Filter[Work], proceed: Proceed[Work]) -> Proceed[Work]:
     async def handle(work: Work) -> None:
-        await step.handle(work, rest)
+        await first.handle(work, proceed)
 
     return handle
--- a/packages/node/src/ebonyhaven_node/_filters.py
+++ b/packages/node/src/ebonyhaven_node/_filters.py
@@ -1,4 +1,4 @@
-"""Filters of the request path, outermost first."""
+"""Filters for generation requests, outermost first."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 from ebonyhaven_node._metrics import RelayMetrics
 from ebonyhaven_node._requests import (
     GenerationRequest,
-    is_first_submission,
     make_rejection,
+    parse_first_submission,
     parse_generation_request,
-    parse_key,
+    parse_idempotency_key,
     parse_position,
     parse_repeatable,
 )
@@ -42,13 +42,13 @@
 
 
 class InstanceStatus(Protocol):
-    """Whether this instance takes new work."""
+    """Whether this instance accepts new runs."""
 
     leaving: bool
 
 
 class OutcomeFilter(Filter[Exchange]):
-    """Counts requests by their end and answers those that fail.
+    """Counts failed requests by outcome and responds to them.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
 
 
 class IdentifyFilter(Filter[Exchange]):
-    """Finds out which workspace a request comes from.
+    """Identifies the workspace of a request and checks its key.
 
     Parameters
     ----------
@@ -104,20 +104,22 @@
 
 
 class ValidateFilter(Filter[Exchange]):
-    """Checks headers and body against the declaration."""
+    """Validates headers and body against the declaration."""
 
     async def handle(self, exchange: Exchange, proceed: Proceed[Exchange]) -> None:
         """See `Filter.handle`."""
         request_class = self._find_class(exchange)
         generated = secrets.token_hex(GENERATED_KEY_BYTES)
-        key = parse_key(exchange.read_header("Idempotency-Key"), generated=generated)
+        key = parse_idempotency_key(
+            exchange.read_header("Idempotency-Key"), generated=generated
+        )
         request = parse_generation_request(
             exchange.body,
             workspace=exchange.workspace,
             class_name=request_class.name,
             key=key,
             repeatable=parse_repeatable(exchange.read_header("Ebonyhaven-Repeatable")),
-            first_submission=is_first_submission(
+            first_submission=parse_first_submission(
                 exchange.read_header("Ebonyhaven-First-Submission"),
                 has_key=exchange.read_header("Idempotency-Key") is not None,
             ),
@@ -139,19 +141,19 @@
                     "Ebonyhaven-Class is missing and there is no default"
                 )
             return exchange.declaration.default_class
-        found = exchange.declaration.classes.get(name)
-        if found is None:
+        request_class = exchange.declaration.classes.get(name)
+        if request_class is None:
             raise make_rejection(f"unknown class {name!r}")
-        return found
+        return request_class
 
 
 class AttachFilter(Filter[Exchange]):
-    """Gives a request its run: the one it has already, or a new one.
+    """Attaches a request to its existing run, or starts a new run for it.
 
     Parameters
     ----------
     registry : RunRegistry
-    parts : DriverParts
+    driver_dependencies : DriverParts
     status : InstanceStatus
     rng : random.Random
     """
@@ -160,22 +162,22 @@
         self,
         *,
         registry: RunRegistry,
-        parts: DriverParts,
+        driver_dependencies: DriverParts,
         status: InstanceStatus,
         rng: random.Random,
     ):
         self._registry = registry
-        self._parts = parts
+        self._driver_dependencies = driver_dependencies
         self._status = status
         self._rng = rng
 
     async def handle(self, exchange: Exchange, proceed: Proceed[Exchange]) -> None:
         """See `Filter.handle`."""
-        known = self._find_known(exchange.request)
-        exchange.run = known or self._begin(exchange)
+        existing = self._find_existing_run(exchange.request)
+        exchange.run = existing or self._start_run(exchange)
         await proceed(exchange)
 
-    def _find_known(self, request: GenerationRequest) -> Run | None:
+    def _find_existing_run(self, request: GenerationRequest) -> Run | None:
         run = self._registry.find(request.run_id)
         if run is None:
             return None
@@ -190,42 +192,42 @@
             return None
         return run
 
-    def _begin(self, exchange: Exchange) -> Run:
+    def _start_run(self, exchange: Exchange) -> Run:
         request = exchange.request
         if self._status.leaving and request.last_event is None:
-            raise _describe_leaving()
+            raise _make_leaving_failure()
         position = request.last_event
         generation = (
             make_generation(self._rng) if position is None else position.generation
         )
         run = Run(request=request, generation=generation)
-        self._take_over_texts(run)
+        self._copy_abandoned_output(run)
         driver = RunDriver(
             run=run,
             targets=derive_targets(exchange.declaration, exchange.request_class, run),
-            parts=self._parts,
+            parts=self._driver_dependencies,
         )
         self._registry.add(run)
         if position is None:
             ensureDeferred(driver.drive_fresh())
         else:
-            server = self._parts.servers.find(position.server)
+            server = self._driver_dependencies.servers.find(position.server)
             ensureDeferred(driver.drive_attached(server))
         return run
 
-    def _take_over_texts(self, run: Run) -> None:
-        """Use the tokens of a run that was stopped when its caller had gone."""
+    def _copy_abandoned_output(self, run: Run) -> None:
+        """Copy the tokens of a run that was stopped after its caller disconnected."""
         position = run.request.last_event
-        known = self._registry.find(run.request.run_id)
-        if known is None or position is None or not known.abandoned:
+        earlier = self._registry.find(run.request.run_id)
+        if earlier is None or position is None or not earlier.abandoned:
             return
-        if known.holds(position):
-            run.texts = known.texts[:]
-            run.segments = known.segments[:]
+        if earlier.holds(position):
+            run.texts = earlier.texts[:]
+            run.segments = earlier.segments[:]
 
 
 class RelayFilter(Filter[Exchange]):
-    """Relays the run to the caller.
+    """Streams the output of the run to the caller.
 
     Parameters
     ----------
@@ -254,7 +256,7 @@
 def derive_targets(
     declaration: Declaration, request_class: RequestClass, run: Run
 ) -> RunTargets:
-    """Return what the declaration asks for a run.
+    """Return the targets and pools that the declaration sets for a run.
 
     Parameters
     ----------
@@ -290,7 +292,7 @@
     return pool.kind is PoolKind.ENGINE and model in pool.models
 
 
-def _describe_leaving() -> RequestFailure:
+def _make_leaving_failure() -> RequestFailure:
     return make_not_run_failure(
         "this instance is leaving; ask for entries and use another",
         step="admit",
--- a/packages/node/src/ebonyhaven_node/_log_writer.py
+++ b/packages/node/src/ebonyhaven_node/_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines that never hold up the process that writes them."""
+"""Log output that never blocks the process."""
 
 from __future__ import annotations
 
@@ -12,179 +12,183 @@
 import structlog
 from prometheus_client import CollectorRegistry, Gauge
 
-MAX_BUFFER_BYTES = 256 * 1024  # a second or so of lines at the highest rate
-ROUTINE_LINES_PER_S = 400  # per process; a busy instance needs about a tenth
-DRAIN_INTERVAL_S = 0.5  # lines that wait also leave with the next line
+MAX_BUFFER_BYTES = 256 * 1024  # about 1 s of lines at the highest rate
+MAX_ROUTINE_LINES_PER_S = 400  # per process; a busy instance writes about a tenth
+DRAIN_INTERVAL_S = 0.5  # each new line drains the buffer as well
 ROUTINE_LEVELS = frozenset({"debug", "info"})
 
 
 class BoundedLogWriter:
-    """Writes lines to a descriptor without waiting for its reader.
+    """Writes lines to a descriptor without blocking.
 
-    Lines that the reader does not take are kept up to a bound and then dropped;
-    the next line that gets through tells how many.
+    Lines are buffered while the descriptor accepts no data, and dropped when the
+    buffer is full. Once the buffer is less than half full, the next line is preceded
+    by one with the number of dropped lines.
 
     Parameters
     ----------
     descriptor : int
-        It is made non-blocking.
+        Set to non-blocking mode.
     max_bytes : int
-        Bound on what is kept.
+        Maximum size of the buffer.
     """
 
     def __init__(self, descriptor: int, *, max_bytes: int = MAX_BUFFER_BYTES):
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._max_bytes = max_bytes
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
-        self._untold = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
+        self._unreported_drops = 0
         self.dropped = 0
 
     def write(self, text: str) -> None:
-        """Take one line, or drop it.
+        """Write or buffer a line, or drop it if the buffer is full.
 
         Parameters
         ----------
         text : str
-            With its line end.
+            Line with its line break.
         """
-        if self._untold and self._waiting_bytes < self._max_bytes // 2:
-            count, self._untold = self._untold, 0
-            self._keep(f'{{"event": "log_lines_dropped", "count": {count}}}\n')
-        self._keep(text)
+        if self._unreported_drops and self._buffered_bytes < self._max_bytes // 2:
+            count, self._unreported_drops = self._unreported_drops, 0
+            self._append(f'{{"event": "log_lines_dropped", "count": {count}}}\n')
+        self._append(text)
         self.drain()
 
     def flush(self) -> None:
-        """Do nothing; lines leave as soon as the reader takes them."""
+        """Do nothing; the buffer is drained on every write and periodically."""
 
     def drain(self) -> None:
-        """Hand over as much as the reader takes."""
-        while self._waiting:
-            line = self._waiting[0]
+        """Write buffered lines until the descriptor would block."""
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
                 return
-            except OSError:  # nobody reads any more
-                self._drop_all()
+            except OSError:  # the reading end is closed
+                self._drop_buffer()
                 return
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._buffer[0] = line[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
 
-    def _keep(self, text: str) -> None:
+    def _append(self, text: str) -> None:
         data = text.encode()
-        if self._waiting_bytes + len(data) > self._max_bytes:
+        if self._buffered_bytes + len(data) > self._max_bytes:
             self.dropped += 1
-            self._untold += 1
+            self._unreported_drops += 1
             return
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
 
-    def _drop_all(self) -> None:
-        self.dropped += len(self._waiting)
-        self._waiting.clear()
-        self._waiting_bytes = 0
+    def _drop_buffer(self) -> None:
+        self.dropped += len(self._buffer)
+        self._buffer.clear()
+        self._buffered_bytes = 0
 
 
 class RoutineLogLimiter:
-    """Processor of structlog that bounds routine lines a second.
+    """Structlog processor that limits the rate of debug and info lines.
 
-    Warnings and errors always pass; they are what explains a failure.
+    Warnings and errors always pass, because they explain failures.
 
     Parameters
     ----------
     lines_per_s : int
     clock : callable
-        Returns seconds.
+        Returns the time in seconds.
     """
 
     def __init__(
         self,
-        lines_per_s: int = ROUTINE_LINES_PER_S,
+        lines_per_s: int = MAX_ROUTINE_LINES_PER_S,
         clock: Callable[[], float] = time.monotonic,
     ):
         self._lines_per_s = lines_per_s
         self._clock = clock
-        self._second = -1
-        self._count = 0
+        self._current_second = -1
+        self._lines_in_second = 0
         self.dropped = 0
-        self._untold = 0
+        self._unreported_drops = 0
 
     def __call__(
         self, logger: Any, method: str, event: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
-        """Return the event, or drop it if there were too many this second."""
+        """Return the event, or drop it if the limit of this second is exceeded."""
         second = int(self._clock())
-        if second != self._second:
-            self._second, self._count = second, 0
-        if method in ROUTINE_LEVELS and self._count >= self._lines_per_s:
+        if second != self._current_second:
+            self._current_second, self._lines_in_second = second, 0
+        if method in ROUTINE_LEVELS and self._lines_in_second >= self._lines_per_s:
             self.dropped += 1
-            self._untold += 1
+            self._unreported_drops += 1
             raise structlog.DropEvent
-        self._count += 1
-        if self._untold:
-            event["routine_lines_dropped"], self._untold = self._untold, 0
+        self._lines_in_second += 1
+        if self._unreported_drops:
+            event["routine_lines_dropped"], self._unreported_drops = (
+                self._unreported_drops,
+                0,
+            )
         return event
 
 
 class LogOutput:
-    """Lines that were not written, whatever the reason.
+    """Log output of the process, with the number of lost lines.
 
     Parameters
     ----------
     writer : BoundedLogWriter
-    limit : RoutineLogLimiter
+    limiter : RoutineLogLimiter
     """
 
-    def __init__(self, writer: BoundedLogWriter, limit: RoutineLogLimiter):
+    def __init__(self, writer: BoundedLogWriter, limiter: RoutineLogLimiter):
         self._writer = writer
-        self._limit = limit
+        self._limiter = limiter
 
-    def count(self) -> int:
-        """Return the lines lost since the start of the process."""
-        return self._writer.dropped + self._limit.dropped
+    def count_lost_lines(self) -> int:
+        """Return the number of lines lost since the start of the process."""
+        return self._writer.dropped + self._limiter.dropped
 
     def drain(self) -> None:
-        """Hand over what waits for the reader."""
+        """Write buffered lines until the descriptor would block."""
         self._writer.drain()
 
     def register_metric(self, registry: CollectorRegistry) -> None:
-        """Show the count as a metric.
+        """Register a metric of the number of lost lines.
 
         Parameters
         ----------
         registry : CollectorRegistry
         """
-        lost = Gauge(
+        lost_lines = Gauge(
             "ebonyhaven_log_lines_lost",
             "Log lines that were not written since the start.",
             registry=registry,
         )
-        lost.set_function(self.count)
+        lost_lines.set_function(self.count_lost_lines)
 
 
 def configure_logs(descriptor: int) -> LogOutput:
-    """Let structlog write JSON lines to a descriptor, bounded and without waiting.
+    """Configure structlog to write JSON lines to a descriptor without blocking.
 
     Parameters
     ----------
     descriptor : int
-        It is made non-blocking.
+        Set to non-blocking mode.
 
     Returns
     -------
     LogOutput
-        To be drained now and then.
+        Its buffer has to be drained periodically.
     """
     writer = BoundedLogWriter(descriptor)
-    limit = RoutineLogLimiter()
+    limiter = RoutineLogLimiter()
     structlog.configure(
         processors=[
-            limit,
+            limiter,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.format_exc_info,
@@ -194,4 +198,4 @@
         logger_factory=structlog.WriteLoggerFactory(file=writer),
         cache_logger_on_first_use=True,
     )
-    return LogOutput(writer, limit)
+    return LogOutput(writer, limiter)
--- a/packages/node/src/ebonyhaven_node/_metrics.py
+++ b/packages/node/src/ebonyhaven_node/_metrics.py
@@ -1,7 +1,7 @@
 """Counters and histograms of a node.
 
-A pair of workspace and class would make more label sets than a node has memory
-for, so each histogram exists once by workspace and once by class.
+Each histogram exists once by workspace and once by class, because label sets for
+all pairs of workspace and class would take more memory than a node has.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RunMetrics(NamedTuple):
-    """Histograms that one run is observed in, by workspace and by class."""
+    """Histograms of one run, each by workspace and by class."""
 
     first_token: tuple[Histogram, Histogram]
     gap: tuple[Histogram, Histogram]
@@ -24,11 +24,12 @@
 
 
 def observe(histograms: tuple[Histogram, Histogram], seconds: float) -> None:
-    """Record one duration.
+    """Record a duration by workspace and by class.
 
     Parameters
     ----------
     histograms : tuple of Histogram
+        By workspace and by class.
     seconds : float
     """
     by_workspace, by_class = histograms
@@ -37,7 +38,7 @@
 
 
 class RelayMetrics:
-    """Metrics of the request path.
+    """Metrics of generation requests and their runs.
 
     Parameters
     ----------
@@ -68,18 +69,18 @@
         self.open_runs = Gauge(
             "ebonyhaven_open_runs", "Runs that have not ended.", registry=registry
         )
-        self._first_token = self._build(
+        self._first_token = self._build_histograms(
             registry, "first_token", "Time to the first token.", FIRST_TOKEN_BUCKETS_S
         )
-        self._gap = self._build(
+        self._gap = self._build_histograms(
             registry, "token_gap", "Time between tokens.", GAP_BUCKETS_S
         )
-        self._resume = self._build(
+        self._resume = self._build_histograms(
             registry, "resume", "Time from a loss to the next token.", RESUME_BUCKETS_S
         )
 
     def bind(self, *, workspace: str, class_name: str) -> RunMetrics:
-        """Return the histograms of one run.
+        """Return the histograms of a run, with its labels applied.
 
         Parameters
         ----------
@@ -97,17 +98,17 @@
             )
         )
 
-    def _build(
+    def _build_histograms(
         self,
         registry: CollectorRegistry,
         name: str,
-        text: str,
+        documentation: str,
         buckets: tuple[float, ...],
     ) -> dict[str, Histogram]:
         return {
             label: Histogram(
                 f"ebonyhaven_{name}_by_{label}_seconds",
-                text,
+                documentation,
                 [label],
                 buckets=buckets,
                 registry=registry,
--- a/packages/node/src/ebonyhaven_node/_node_runner.py
+++ b/packages/node/src/ebonyhaven_node/_node_runner.py
@@ -1,4 +1,4 @@
-"""Running a node under Twisted's reactor."""
+"""Runs a node in the Twisted reactor."""
 
 from __future__ import annotations
 
@@ -18,20 +18,19 @@
 
 
 def run_node(settings: Settings, log_output: LogOutput) -> int:
-    """Run a node; SIGTERM and SIGINT let it leave gracefully.
+    """Run a node until it leaves gracefully on SIGTERM or SIGINT.
 
     Parameters
     ----------
     settings : Settings
     log_output : LogOutput
-        Of the process's log.
 
     Returns
     -------
     int
-        Exit code.
+        Exit code of the process.
     """
-    failures: list[int] = []
+    exit_codes: list[int] = []
     node = Node(settings, reactor)
 
     def stop(*_: object) -> None:
@@ -44,7 +43,7 @@
             node.attach_log_output(log_output)
         except Exception:
             _log.exception("node_start_failed", instance=settings.instance)
-            failures.append(EXIT_START_FAILED)
+            exit_codes.append(EXIT_START_FAILED)
             reactor.stop()
             return
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -54,4 +53,4 @@
 
     reactor.callWhenRunning(start)
     reactor.run()
-    return failures[0] if failures else 0
+    return exit_codes[0] if exit_codes else 0
--- a/packages/node/src/ebonyhaven_node/_requests.py
+++ b/packages/node/src/ebonyhaven_node/_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request: parsing and checking."""
+"""Parses and validates generation requests."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class GenerationRequest:
-    """One request for a generation, checked.
+    """Validated request for a generation.
 
     Parameters
     ----------
     workspace, class_name, key : str
-        Who asks, in which class of work, under which idempotency key.
+        Workspace, request class and idempotency key.
     repeatable : bool
-        Whether a second fresh start would do no harm.
+        Whether the request may be started from its beginning a second time.
     first_submission : bool
         Whether no earlier submission of this key can have run.
     model, prompt : str
-        What to run.
+        Model and prompt to run.
     adapter : str or None
         Adapter to use with the model.
     max_tokens : int
-        Largest number of tokens to generate.
+        Maximum number of tokens to generate.
     last_event : EventId or None
-        Position of the last token that the caller holds.
+        Position of the last token that the caller has received.
     received : tuple of str or None
-        Texts of all tokens that the caller holds.
+        Texts of all tokens that the caller has received.
     """
 
     workspace: str
@@ -63,20 +63,20 @@
 
     @property
     def run_id(self) -> str:
-        """Identity of the run: the same for each resubmission of a key."""
+        """Identifier of the run, the same for all submissions of a key."""
         identity = f"{self.workspace}\0{self.key}".encode()
         return hashlib.sha256(identity).hexdigest()[:RUN_ID_DIGITS]
 
     @property
     def digest(self) -> str:
-        """Digest that differs for another request under the same key."""
+        """Digest that differs if a key is used again for another request."""
         fields = [self.model, self.adapter, self.prompt, self.max_tokens]
         fields.append(self.repeatable)
         return hashlib.sha256(json.dumps(fields).encode()).hexdigest()[:16]
 
     @property
     def content_digest(self) -> str:
-        """Digest of what an engine sees, whoever asks and under which key."""
+        """Digest of the engine's input, independent of workspace and key."""
         fields = json.dumps([self.model, self.adapter, self.prompt])
         return hashlib.sha256(fields.encode()).hexdigest()[:16]
 
@@ -87,14 +87,14 @@
 
     @property
     def first_offset(self) -> int:
-        """Offset of the first token that the caller does not hold."""
+        """Offset of the first token that the caller has not received."""
         return 0 if self.last_event is None else self.last_event.offset + 1
 
 
 def make_rejection(
     reason: str, *, status: int = 400, step: str = "validate"
 ) -> RequestFailure:
-    """Return the failure for a request that is wrong in itself.
+    """Return the failure of an invalid request.
 
     Parameters
     ----------
@@ -103,7 +103,7 @@
     status : int
         HTTP status code.
     step : str
-        Step that found the error.
+        Step that detected the error.
 
     Returns
     -------
@@ -117,7 +117,7 @@
 
     Parameters
     ----------
-    content_digest : bytes
+    content : bytes
 
     Returns
     -------
@@ -140,15 +140,15 @@
     return body
 
 
-def parse_key(text: str | None, *, generated: str) -> str:
-    """Check an idempotency key.
+def parse_idempotency_key(text: str | None, *, generated: str) -> str:
+    """Parse the ``Idempotency-Key`` header.
 
     Parameters
     ----------
     text : str or None
-        Value of the header.
+        Value of the header, None if it is absent.
     generated : str
-        Key to use when the caller sent none.
+        Key to use if the header is absent.
 
     Returns
     -------
@@ -166,7 +166,7 @@
 
 
 def parse_repeatable(text: str | None) -> bool:
-    """Check the ``Ebonyhaven-Repeatable`` header.
+    """Parse the ``Ebonyhaven-Repeatable`` header.
 
     Parameters
     ----------
@@ -187,19 +187,20 @@
     raise make_rejection(f"Ebonyhaven-Repeatable must be yes or no, got {text!r}")
 
 
-def is_first_submission(text: str | None, *, has_key: bool) -> bool:
-    """Tell whether no earlier submission of a key can have run.
+def parse_first_submission(text: str | None, *, has_key: bool) -> bool:
+    """Parse the ``Ebonyhaven-First-Submission`` header.
 
     Parameters
     ----------
     text : str or None
-        Value of the ``Ebonyhaven-First-Submission`` header.
+        Value of the header, None if it is absent.
     has_key : bool
-        Whether the caller chose the key; a generated key is always new.
+        Whether the caller sent an idempotency key; a generated key is always new.
 
     Returns
     -------
     bool
+        Whether no earlier submission of the key can have run.
 
     Raises
     ------
@@ -213,7 +214,7 @@
 
 
 def parse_position(text: str | None) -> EventId | None:
-    """Check the ``Last-Event-ID`` header.
+    """Parse the ``Last-Event-ID`` header.
 
     Parameters
     ----------
@@ -245,14 +246,14 @@
     first_submission: bool,
     last_event: EventId | None,
 ) -> GenerationRequest:
-    """Check the body of a request for a generation.
+    """Build a generation request from its body and its parsed headers.
 
     Parameters
     ----------
     body : dict
-        Decoded body.
+        Decoded JSON body.
     workspace, class_name, key, repeatable, first_submission, last_event
-        Checked headers.
+        Values of the parsed headers.
 
     Returns
     -------
@@ -261,7 +262,7 @@
     Raises
     ------
     RequestFailure
-        Naming the field that is wrong.
+        If a field is invalid; the reason names it.
     """
     if body.get("stream") is not True:
         raise make_rejection("stream must be true")
--- a/packages/node/src/ebonyhaven_node/_services.py
+++ b/packages/node/src/ebonyhaven_node/_services.py
@@ -1,4 +1,7 @@
-"""Calls to plain services, which are never sent twice once they may have run."""
+"""Relays calls to plain services.
+
+A call that may have been run is sent to another server only if it is repeatable.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +22,12 @@
 from ebonyhaven_node._sinks import write_outcome
 
 CALL_TIMEOUT_S = 30.0
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 RETRY_AFTER_S = 1.0
 SAFE_METHODS = frozenset({b"GET", b"HEAD"})
 FORWARDED_HEADERS = ("Content-Type", "Accept", "Idempotency-Key")
 RETURNED_HEADERS = ("Content-Type",)
-_NOT_SENT = (
+_ERRORS_BEFORE_SEND = (
     error.ConnectError,
     error.ConnectingCancelledError,
     error.ConnectionRefusedError,
@@ -59,7 +62,7 @@
         self._client = treq.client.HTTPClient(agent)
 
     async def relay(self, http_request: Request, service: str, path: str) -> None:
-        """Relay one call and write its answer.
+        """Relay a call and write its response.
 
         Parameters
         ----------
@@ -67,7 +70,7 @@
         service : str
             Name of the service.
         path : str
-            Path at the service, without its first slash.
+            Path at the service, without the leading slash.
         """
         try:
             await self._relay(http_request, service, path)
@@ -81,27 +84,27 @@
                 f"more than {MAX_BODY_BYTES} bytes of body", status=413
             )
         repeatable = self._is_repeatable(http_request)
-        tried: set[str] = set()
-        last = Outcome(
+        tried_servers: set[str] = set()
+        final_outcome = Outcome(
             tag=OutcomeTag.NOT_RUN,
             step="route",
             peer="self",
             reason=f"no backend server of service {service!r} can be reached",
             retry_after_s=RETRY_AFTER_S,
         )
-        for _ in range(MAX_TRIES):
-            server = self._choose(service, tried)
+        for _ in range(MAX_ATTEMPTS):
+            server = self._choose_server(service, tried_servers)
             if server is None:
                 break
-            tried.add(server.name)
+            tried_servers.add(server.name)
             outcome = await self._call(http_request, server, path, body)
             if outcome is None:
                 return
             if outcome.tag is OutcomeTag.UNKNOWN and not repeatable:
                 raise RequestFailure(outcome)
-            if last.tag is OutcomeTag.NOT_RUN:
-                last = outcome
-        raise RequestFailure(last)
+            if final_outcome.tag is OutcomeTag.NOT_RUN:
+                final_outcome = outcome
+        raise RequestFailure(final_outcome)
 
     def _is_repeatable(self, http_request: Request) -> bool:
         header = http_request.getHeader("Ebonyhaven-Repeatable")
@@ -109,7 +112,9 @@
             return http_request.method in SAFE_METHODS
         return parse_repeatable(header)
 
-    def _choose(self, service: str, tried: set[str]) -> BackendServer | None:
+    def _choose_server(
+        self, service: str, tried_servers: set[str]
+    ) -> BackendServer | None:
         declaration = self._configuration.require()
         pools = [
             pool.name
@@ -122,14 +127,14 @@
         suitable = [
             server
             for server in self._servers.list_in_pools(pools)
-            if server.name not in tried and server.accepts_work(now)
+            if server.name not in tried_servers and server.accepts_work(now)
         ]
         return min(suitable, key=lambda item: item.in_flight, default=None)
 
     async def _call(
         self, http_request: Request, server: BackendServer, path: str, body: bytes
     ) -> Outcome | None:
-        """Call one server; return None once its answer has been written."""
+        """Call a server; return None if its response was written to the caller."""
         slot = self._scheduling.adopt(server)
         try:
             return await self._send(http_request, server, path, body)
@@ -151,12 +156,12 @@
         try:
             response = await call
             content = await treq.content(response)
-        except _NOT_SENT as problem:
+        except _ERRORS_BEFORE_SEND as exception:
             server.record_unreachable(time.monotonic())
-            return _describe(OutcomeTag.NOT_RUN, "connect", server, problem)
-        except Exception as problem:
+            return _make_outcome(OutcomeTag.NOT_RUN, "connect", server, exception)
+        except Exception as exception:
             server.record_unreachable(time.monotonic())
-            return _describe(OutcomeTag.UNKNOWN, "send", server, problem)
+            return _make_outcome(OutcomeTag.UNKNOWN, "send", server, exception)
         server.record_answer()
         http_request.setResponseCode(response.code)
         for name in RETURNED_HEADERS:
@@ -168,18 +173,18 @@
 
 
 def _select_headers(http_request: Request) -> dict[str, str]:
-    found = {name: http_request.getHeader(name) for name in FORWARDED_HEADERS}
-    return {name: value for name, value in found.items() if value is not None}
+    headers = {name: http_request.getHeader(name) for name in FORWARDED_HEADERS}
+    return {name: value for name, value in headers.items() if value is not None}
 
 
-def _describe(
-    tag: OutcomeTag, step: str, server: BackendServer, problem: Exception
+def _make_outcome(
+    tag: OutcomeTag, step: str, server: BackendServer, exception: Exception
 ) -> Outcome:
     return Outcome(
         tag=tag,
         step=step,
         peer=server.name,
-        reason=f"{type(problem).__name__}: {problem}",
+        reason=f"{type(exception).__name__}: {exception}",
         status=502,
         retry_after_s=RETRY_AFTER_S,
     )
--- a/packages/node/src/ebonyhaven_node/_settings.py
+++ b/packages/node/src/ebonyhaven_node/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node, read from JSON and checked."""
+"""Reads and validates the settings of a node."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 _ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 RESUME_MODES = ("continue", "restart")
-SCHEDULINGS = tuple(each.value for each in SchedulingAlgorithm)
+SCHEDULING_ALGORITHMS = tuple(each.value for each in SchedulingAlgorithm)
 
 
 @attrs.frozen(slots=True, kw_only=True)
@@ -27,27 +27,31 @@
     instance : str
         Name of the instance.
     data_centre, region : str
-        Where the instance stands.
+        Location of the instance.
     caller_address : str
-        ``IP:PORT`` that callers connect to.
+        ``IP:PORT`` to which callers connect.
     control_address : str
-        ``IP:PORT`` that other instances connect to.
+        ``IP:PORT`` to which other instances connect.
     platform_address : str
         ``IP:PORT`` of the platform's services.
     seed : int
-        Seed of the node's random source; 0 takes one from the system.
+        Seed of the node's random number generator; 0 selects a seed of the
+        operating system.
     resume : str
-        ``continue``, or ``restart`` for the baseline of measurements.
+        ``continue`` resumes a run on another engine when its engine fails;
+        ``restart``, the baseline of measurements, ends it with a failure.
     scheduling : str
         ``fair``; ``round_robin`` and ``least_connections`` are baselines of
         measurements.
     control_seeds : dict of str to str
-        Control addresses of some instances by name, for a start while the
-        platform's list is out.
+        Control addresses of some instances by name, used when the instance starts
+        while the platform's instance list is unavailable.
     control_loss : float
-        Share of the messages to other instances that is dropped; for development.
+        Share of the messages to other instances that is dropped, 0 to 1; for
+        development.
     control_routes : dict of str to str
-        Address to connect to in place of a control address; for development.
+        Addresses to connect to, by the control address that each replaces; for
+        development.
     """
 
     instance: str
@@ -88,8 +92,8 @@
 
 
 def _check_scheduling(key: str, value: Any) -> None:
-    if value not in SCHEDULINGS:
-        raise SettingsError(key, f"one of {', '.join(SCHEDULINGS)}", value)
+    if value not in SCHEDULING_ALGORITHMS:
+        raise SettingsError(key, f"one of {', '.join(SCHEDULING_ALGORITHMS)}", value)
 
 
 def _check_seeds(key: str, value: Any) -> None:
@@ -109,8 +113,8 @@
 
 
 def _check_share(key: str, value: Any) -> None:
-    number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not number or not 0 <= value <= 1:
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not 0 <= value <= 1:
         raise SettingsError(key, "a number between 0 and 1", value)
 
 
@@ -131,7 +135,7 @@
 
 
 def parse_settings(data: Any) -> Settings:
-    """Check decoded settings.
+    """Validate decoded settings.
 
     Parameters
     ----------
@@ -145,7 +149,7 @@
     Raises
     ------
     SettingsError
-        For an unknown, missing or wrong key.
+        If a key is unknown or missing, or its value is invalid.
     """
     if not isinstance(data, dict):
         raise SettingsError("settings", "an object", data)
@@ -161,7 +165,7 @@
 
 
 def read_settings(path: pathlib.Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
@@ -174,7 +178,7 @@
     Raises
     ------
     SettingsError
-        If the file cannot be read, is not JSON, or holds wrong settings.
+        If the file cannot be read, is not JSON, or contains invalid settings.
     """
     try:
         text = path.read_text()
--- a/packages/node/src/ebonyhaven_node/_web.py
+++ b/packages/node/src/ebonyhaven_node/_web.py
@@ -1,4 +1,4 @@
-"""HTTP interface towards callers."""
+"""HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.define(slots=True, kw_only=True)
 class InstanceState:
-    """What this instance is and whether it takes new work.
+    """Identity of this instance and whether it accepts new runs.
 
     Parameters
     ----------
@@ -38,15 +38,15 @@
 
 
 class CallerInterface:
-    """Routes of the caller interface.
+    """HTTP routes for callers.
 
     Parameters
     ----------
     chain : callable
-        The filter chain.
+        Filter chain for generation requests.
     services : ServiceRelay
     entries : callable
-        Returns the entry list to answer with.
+        Returns the entry list to send to a caller.
     state : InstanceState
     configuration : ActiveConfiguration
     registry : CollectorRegistry
@@ -91,12 +91,12 @@
 
     @app.route("/v1/entries", methods=["GET"])
     def list_entries(self, request: Request) -> bytes:
-        """Tell which addresses to use, best first, and for how long."""
+        """Return the entry list, best instance first, with its time to live."""
         return _write_json(request, self._entries().describe())
 
     @app.route("/health", methods=["GET"])
     def report_health(self, request: Request) -> bytes:
-        """Tell whether this instance takes new work."""
+        """Report whether this instance accepts new runs."""
         health = {
             "status": "leaving" if self._state.leaving else "live",
             "instance": self._state.instance,
@@ -107,7 +107,10 @@
 
     @app.route("/metrics", methods=["GET"])
     def report_metrics(self, request: Request) -> Deferred[bytes]:
-        """Write all metrics as Prometheus text, rendered beside the streams."""
+        """Return all metrics in the Prometheus text format.
+
+        They are rendered in a thread, so that streams are not delayed.
+        """
         request.setHeader("Content-Type", "text/plain; version=0.0.4")
         return deferToThread(generate_latest, self._registry)
 
--- a/packages/node/src/ebonyhaven_node/exceptions.py
+++ b/packages/node/src/ebonyhaven_node/exceptions.py
@@ -8,16 +8,16 @@
 
 
 class SettingsError(NodeError):
-    """Raised for settings that cannot be used.
+    """Raised when settings are invalid.
 
     Parameters
     ----------
     key : str
-        Key at fault.
+        Invalid key, or path of the file.
     expected : str
-        What the key must hold.
+        Expected value.
     value : object
-        What it holds.
+        Actual value.
     """
 
     def __init__(self, key: str, expected: str, value: object):
@@ -35,7 +35,7 @@
     status : int
         HTTP status, or 0 when no connection could be made.
     reason : str
-        Tag from the engine's answer.
+        Error name in the response, or the kind of connection error.
     """
 
     def __init__(self, *, peer: str, status: int, reason: str):
@@ -46,14 +46,14 @@
 
 
 class EngineLost(NodeError):
-    """Raised when an engine may have run a request but does not answer.
+    """Raised when an engine may have run a request but does not respond.
 
     Parameters
     ----------
     peer : str
         Name of the backend server.
     step : str
-        Step at which contact was lost.
+        Step at which the engine was lost.
     closed : bool
         Whether the connection was closed, rather than silent.
     """
--- a/tests/node/test_commands.py
+++ b/tests/node/test_commands.py
@@ -12,7 +12,7 @@
 
 from ebonyhaven_standins.cluster import allocate_address
 
-STOP_S = 20.0
+STOP_TIMEOUT_S = 20.0
 
 
 @contextlib.contextmanager
@@ -27,8 +27,8 @@
         "control_address": allocate_address(),
         "platform_address": allocate_address(),
     }
-    with tempfile.TemporaryDirectory() as folder:
-        path = pathlib.Path(folder, "node.json")
+    with tempfile.TemporaryDirectory() as directory:
+        path = pathlib.Path(directory, "node.json")
         path.write_text(json.dumps(settings))
         command = [sys.executable, "-m", "ebonyhaven_node.commands", "serve"]
         process = subprocess.Popen(
@@ -37,7 +37,7 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        watchdog = threading.Timer(STOP_S, process.kill)
+        watchdog = threading.Timer(STOP_TIMEOUT_S, process.kill)
         watchdog.start()
         try:
             yield address, process
@@ -48,7 +48,7 @@
 
 
 def read_until(process, event) -> list[str]:
-    """Return the lines up to the one that tells of an event."""
+    """Return the lines up to and including the first one of an event."""
     lines = []
     for line in process.stdout:
         lines.append(line)
@@ -57,13 +57,13 @@
     raise AssertionError(f"no {event} in {lines}: {process.stderr.read()}")
 
 
-def test_node_writes_its_log_to_standard_output_and_shows_lost_lines():
+def test_node_logs_to_standard_output_and_exports_lost_lines():
     with run_node() as (address, process):
         read_until(process, "node_started")
-        with urllib.request.urlopen(f"http://{address}/metrics") as answer:
-            metrics = answer.read().decode()
+        with urllib.request.urlopen(f"http://{address}/metrics") as response:
+            metrics = response.read().decode()
         process.send_signal(signal.SIGTERM)
-        output, errors = process.communicate(timeout=STOP_S)
+        output, errors = process.communicate(timeout=STOP_TIMEOUT_S)
     assert "ebonyhaven_log_lines_lost 0.0" in metrics
     assert errors == ""
     events = [json.loads(line)["event"] for line in output.splitlines() if "{" in line]
--- a/tests/node/test_log_writer.py
+++ b/tests/node/test_log_writer.py
@@ -11,37 +11,37 @@
 
 def read_all(descriptor) -> bytes:
     os.set_blocking(descriptor, False)
-    parts = []
+    chunks = []
     while True:
         try:
             data = os.read(descriptor, 1 << 20)
         except BlockingIOError:
-            return b"".join(parts)
+            return b"".join(chunks)
         if not data:
-            return b"".join(parts)
-        parts.append(data)
+            return b"".join(chunks)
+        chunks.append(data)
 
 
-def test_a_reader_that_stops_reading_holds_up_nobody():
+def test_stalled_reader_does_not_block_the_writer():
     reader, descriptor = os.pipe()
     writer = BoundedLogWriter(descriptor, max_bytes=50_000)
-    for _ in range(1000):  # a pipe takes 64 KiB
+    for _ in range(1000):  # a pipe buffers 64 KiB
         writer.write(LINE)
     assert writer.dropped > 800
-    kept = writer.dropped
-    first = read_all(reader)
-    assert first.startswith(LINE.encode())
+    dropped = writer.dropped
+    first_output = read_all(reader)
+    assert first_output.startswith(LINE.encode())
     writer.drain()
     read_all(reader)
     writer.write("after\n")
-    rest = read_all(reader).decode()
-    assert f'"count": {kept}' in rest
-    assert rest.endswith("after\n")
+    last_output = read_all(reader).decode()
+    assert f'"count": {dropped}' in last_output
+    assert last_output.endswith("after\n")
     os.close(descriptor)
     os.close(reader)
 
 
-def test_lines_that_are_taken_in_part_come_out_whole():
+def test_partially_written_lines_are_completed():
     reader, descriptor = os.pipe()
     writer = BoundedLogWriter(descriptor, max_bytes=1 << 20)
     for number in range(300):
@@ -55,7 +55,7 @@
     assert {len(line) for line in lines} == {1003}
 
 
-def test_a_reader_that_is_gone_ends_nothing():
+def test_closed_reader_drops_lines_without_an_error():
     reader, descriptor = os.pipe()
     os.close(reader)
     writer = BoundedLogWriter(descriptor)
@@ -64,14 +64,14 @@
     assert writer.dropped == 2
 
 
-def test_routine_lines_are_bounded_and_failures_always_kept():
+def test_routine_lines_are_limited_and_warnings_always_pass():
     now = [10.0]
-    limit = RoutineLogLimiter(5, clock=lambda: now[0])
+    limiter = RoutineLogLimiter(5, clock=lambda: now[0])
     passed = []
 
     def log(method):
         try:
-            passed.append((method, limit(None, method, {"event": "e"})))
+            passed.append((method, limiter(None, method, {"event": "e"})))
         except structlog.DropEvent:
             return
 
@@ -85,5 +85,5 @@
     now[0] = 11.0
     log("info")
     assert passed[-1][0] == "info"
-    assert limit.dropped == 15
+    assert limiter.dropped == 15
     json.dumps(passed)
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -4,7 +4,7 @@
 from ebonyhaven_node.exceptions import SettingsError
 from nose2.tools import params
 
-GOOD = {
+VALID_SETTINGS = {
     "instance": "n1",
     "data_centre": "dc-a",
     "region": "r1",
@@ -14,8 +14,8 @@
 }
 
 
-def test_defaults_are_filled_in():
-    assert parse_settings(GOOD).resume == "continue"
+def test_missing_optional_keys_get_defaults():
+    assert parse_settings(VALID_SETTINGS).resume == "continue"
 
 
 @params(
@@ -26,9 +26,9 @@
     ({"resume": "never"}, "resume: expected one of continue, restart"),
     ({"sead": 1}, "sead: expected one of instance"),
 )
-def test_wrong_key_is_named_with_its_value(change, message):
+def test_error_names_the_invalid_key_and_its_value(change, message):
     try:
-        parse_settings({**GOOD, **change})
+        parse_settings({**VALID_SETTINGS, **change})
     except SettingsError as error:
         assert message in str(error)
         assert "\n" not in str(error)
@@ -36,10 +36,10 @@
         raise AssertionError("the settings were accepted")
 
 
-def test_missing_key_is_named():
-    without = {key: GOOD[key] for key in GOOD if key != "region"}
+def test_error_names_a_missing_key():
+    incomplete = {key: VALID_SETTINGS[key] for key in VALID_SETTINGS if key != "region"}
     try:
-        parse_settings(without)
+        parse_settings(incomplete)
     except SettingsError as error:
         assert str(error) == "region: expected a value, got None"
     else:
--- a/tests/node/test_web.py
+++ b/tests/node/test_web.py
@@ -11,7 +11,7 @@
 
 
 class ThreadRecorder:
-    """Collector that notes which thread renders it."""
+    """Collector that records the thread in which it is rendered."""
 
     def __init__(self):
         self.thread = None
@@ -39,7 +39,7 @@
     return threading.get_ident()
 
 
-def test_metrics_are_rendered_beside_the_streams():
+def test_metrics_are_rendered_outside_the_reactor_thread():
     recorder = ThreadRecorder()
     reactor_thread = run_in_reactor(render_metrics, recorder)
     assert recorder.thread is not None
