--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -26,6 +26,7 @@
 from ebonyhaven_node._claims import ClaimStore
 from ebonyhaven_node._control_plane import ControlPlaneDependencies, start_control_plane
 from ebonyhaven_node._crash_reports import CrashReports
+from ebonyhaven_node._driver_dependencies import DriverDependencies
 from ebonyhaven_node._engines import EngineClient
 from ebonyhaven_node._filter_chain import build_chain
 from ebonyhaven_node._filters import (
@@ -46,7 +47,6 @@
 from ebonyhaven_node._pauses import PauseDetector
 from ebonyhaven_node._policy_scheduling import PolicySlotScheduler
 from ebonyhaven_node._processor_load import ProcessorLoad
-from ebonyhaven_node._run_parts import DriverParts
 from ebonyhaven_node._runs import RunRegistry
 from ebonyhaven_node._servers import BackendServers
 from ebonyhaven_node._services import ServiceRelay
@@ -290,14 +290,14 @@
         table: TableClient,
         metrics: RelayMetrics,
         scheduling: PolicySlotScheduler,
-    ) -> DriverParts:
+    ) -> DriverDependencies:
         engines = EngineClient(self._reactor)
         crashes = CrashReports(CrashLedger())
         self._membership.add_digest(crashes.make_digest())
         claimant = Claimant(
             instance=self._state.instance, incarnation=self._state.incarnation
         )
-        return DriverParts(
+        return DriverDependencies(
             engines=engines,
             servers=self._servers,
             scheduling=scheduling,
--- a/packages/node/src/ebonyhaven_node/_run_parts.py
+++ b/packages/node/src/ebonyhaven_node/_driver_dependencies.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class DriverParts:
+class DriverDependencies:
     """Parts of the node that drivers use.
 
     Parameters
--- a/packages/node/src/ebonyhaven_node/_drivers.py
+++ b/packages/node/src/ebonyhaven_node/_drivers.py
@@ -22,21 +22,21 @@
 
 from ebonyhaven_node._candidates import CandidateSet
 from ebonyhaven_node._content_guard import ContentGuard
+from ebonyhaven_node._driver_dependencies import (
+    RETRY_AFTER_S,
+    DriverDependencies,
+    RunTargets,
+    make_generation,
+)
 from ebonyhaven_node._engines import CONNECTION_REFUSED, EngineStream
 from ebonyhaven_node._events import Token
 from ebonyhaven_node._failures import make_failure
 from ebonyhaven_node._lifecycles import RunState, StateObserver, start_lifecycle
 from ebonyhaven_node._run_claims import RunClaim
-from ebonyhaven_node._run_parts import (
-    RETRY_AFTER_S,
-    DriverParts,
-    RunTargets,
-    make_generation,
-)
 from ebonyhaven_node._runs import Run
 from ebonyhaven_node._scheduling import Slot, SlotRequest
 from ebonyhaven_node._servers import BackendServer
-from ebonyhaven_node._silence import SilenceWatch
+from ebonyhaven_node._silence import SilenceDetector
 from ebonyhaven_node._stream_opener import StreamOpener
 from ebonyhaven_node.exceptions import EngineLost, EngineRefusal, NodeError
 
@@ -62,37 +62,39 @@
     ----------
     run : Run
     targets : RunTargets
-    parts : DriverParts
+    dependencies : DriverDependencies
     """
 
-    def __init__(self, *, run: Run, targets: RunTargets, parts: DriverParts):
+    def __init__(
+        self, *, run: Run, targets: RunTargets, dependencies: DriverDependencies
+    ):
         self._run = run
         self._request = run.request
         self._targets = targets
-        self._parts = parts
+        self._dependencies = dependencies
         self._signals = DeferredQueue()
-        self._candidates = CandidateSet(run=run, orphans=parts.orphans)
-        self._claim = RunClaim(request=run.request, claims=parts.claims)
-        self._silence = SilenceWatch(
+        self._candidates = CandidateSet(run=run, orphans=dependencies.orphans)
+        self._claim = RunClaim(request=run.request, claims=dependencies.claims)
+        self._silence = SilenceDetector(
             run=run,
             resume_target_s=targets.resume_s,
-            metrics=parts.metrics.bind(
+            metrics=dependencies.metrics.bind(
                 workspace=run.request.workspace, class_name=run.request.class_name
             ),
-            reactor=parts.reactor,
+            reactor=dependencies.reactor,
             on_silence=lambda: self._signals.put(Signal.SILENCE),
         )
         self._detach_timer = None
         self._guard = ContentGuard(
             content=run.request.content_digest,
-            crashes=parts.crashes,
-            reactor=parts.reactor,
+            crashes=dependencies.crashes,
+            reactor=dependencies.reactor,
         )
         self._lifecycle = start_lifecycle(StateObserver(self._note_state))
         self._opener = StreamOpener(
             run=run,
             targets=targets,
-            parts=parts,
+            dependencies=dependencies,
             candidates=self._candidates,
             claim=self._claim,
             guard=self._guard,
@@ -105,11 +107,11 @@
 
     # -- ways to begin -----------------------------------------------------
 
-    async def drive_fresh(self) -> None:
+    async def drive_new_run(self) -> None:
         """Start the run on an engine and see it to its end."""
         await self._drive(self._open_fresh())
 
-    async def drive_attached(self, server: BackendServer | None) -> None:
+    async def drive_existing_run(self, server: BackendServer | None) -> None:
         """Find the run on the engine that has it, and see it to its end.
 
         Parameters
@@ -125,7 +127,7 @@
         """See `StreamReceiver.receive_tokens`."""
         candidate = self._candidates.find(stream)
         if candidate is None or self._run.ended:
-            self._parts.metrics.tokens_dropped.inc(len(tokens))
+            self._dependencies.metrics.tokens_dropped.inc(len(tokens))
             return
         fresh = self._candidates.select_fresh(tokens)
         if not fresh:
@@ -153,7 +155,7 @@
     # -- following a run ---------------------------------------------------
 
     async def _drive(self, opening: Coroutine) -> None:
-        self._parts.metrics.open_runs.inc()
+        self._dependencies.metrics.open_runs.inc()
         try:
             await opening
             await self._follow()
@@ -164,7 +166,7 @@
             failure = make_failure(OutcomeTag.UNKNOWN, "drive", "internal error")
             self._fail(failure.outcome)
         finally:
-            self._parts.metrics.open_runs.dec()
+            self._dependencies.metrics.open_runs.dec()
             self._close()
 
     def _judge_outcome(self, outcome: Outcome) -> Outcome:
@@ -195,9 +197,9 @@
 
     async def _recover(self, signal: Signal) -> None:
         """Bring a silent or broken stream to go on."""
-        if not self._parts.continue_runs:
+        if not self._dependencies.continue_runs:
             raise self._fail_at_server(OutcomeTag.FAILED, "relay", "engine lost")
-        self._parts.metrics.suspicions.labels(signal.value).inc()
+        self._dependencies.metrics.suspicions.labels(signal.value).inc()
         self._lifecycle.suspect()
         self._silence.record_suspicion()
         suspected, length = self._candidates.primary, len(self._run.texts)
@@ -299,7 +301,9 @@
             raise
         if not moved:
             slot.release()
-            await self._opener.chase(self._parts.servers.find(self._claim.server))
+            await self._opener.chase(
+                self._dependencies.servers.find(self._claim.server)
+            )
         return moved
 
     async def _acquire_resume(self, excluded: set[str], deadline: float) -> Slot:
@@ -311,7 +315,7 @@
             resume=True,
         )
         try:
-            return await self._parts.scheduling.acquire(slot_request)
+            return await self._dependencies.scheduling.acquire(slot_request)
         except RequestFailure as failure:
             raise make_failure(
                 OutcomeTag.FAILED,
@@ -326,7 +330,7 @@
             await self._opener.chase(self._candidates.primary)
             return
         self._candidates.drop_all(cancel=True)
-        self._run.generation = make_generation(self._parts.rng)
+        self._run.generation = make_generation(self._dependencies.rng)
         await self._opener.start(deadline, excluded=excluded, resume=True)
 
     # -- starting ----------------------------------------------------------
@@ -407,7 +411,7 @@
 
     def _handle_detached(self) -> None:
         if self._request.repeatable and self._detach_timer is None:
-            self._detach_timer = self._parts.reactor.callLater(
+            self._detach_timer = self._dependencies.reactor.callLater(
                 DETACH_GRACE_S, self._announce_abandoned
             )
 
--- a/packages/node/src/ebonyhaven_node/_filters.py
+++ b/packages/node/src/ebonyhaven_node/_filters.py
@@ -20,6 +20,11 @@
 from twisted.internet.interfaces import IReactorTime
 
 from ebonyhaven_node._active_configuration import ActiveConfiguration
+from ebonyhaven_node._driver_dependencies import (
+    DriverDependencies,
+    RunTargets,
+    make_generation,
+)
 from ebonyhaven_node._drivers import RunDriver
 from ebonyhaven_node._exchanges import Exchange
 from ebonyhaven_node._failures import make_not_run_failure
@@ -34,7 +39,6 @@
     parse_position,
     parse_repeatable,
 )
-from ebonyhaven_node._run_parts import DriverParts, RunTargets, make_generation
 from ebonyhaven_node._runs import Run, RunRegistry
 from ebonyhaven_node._sinks import CallerStream, write_outcome
 
@@ -153,7 +157,7 @@
     Parameters
     ----------
     registry : RunRegistry
-    driver_dependencies : DriverParts
+    driver_dependencies : DriverDependencies
     status : InstanceStatus
     rng : random.Random
     """
@@ -162,7 +166,7 @@
         self,
         *,
         registry: RunRegistry,
-        driver_dependencies: DriverParts,
+        driver_dependencies: DriverDependencies,
         status: InstanceStatus,
         rng: random.Random,
     ):
@@ -184,7 +188,9 @@
         if run.request.digest != request.digest:
             reason = "the idempotency key was used with a different body"
             raise make_rejection(reason, status=409, step="deduplicate")
-        if request.last_event is not None and not run.holds(request.last_event):
+        if request.last_event is not None and not run.contains_position(
+            request.last_event
+        ):
             return None
         if run.outcome is None:
             return run
@@ -205,14 +211,14 @@
         driver = RunDriver(
             run=run,
             targets=derive_targets(exchange.declaration, exchange.request_class, run),
-            parts=self._driver_dependencies,
+            dependencies=self._driver_dependencies,
         )
         self._registry.add(run)
         if position is None:
-            ensureDeferred(driver.drive_fresh())
+            ensureDeferred(driver.drive_new_run())
         else:
             server = self._driver_dependencies.servers.find(position.server)
-            ensureDeferred(driver.drive_attached(server))
+            ensureDeferred(driver.drive_existing_run(server))
         return run
 
     def _copy_abandoned_output(self, run: Run) -> None:
@@ -221,7 +227,7 @@
         earlier = self._registry.find(run.request.run_id)
         if earlier is None or position is None or not earlier.abandoned:
             return
-        if earlier.holds(position):
+        if earlier.contains_position(position):
             run.texts = earlier.texts[:]
             run.segments = earlier.segments[:]
 
--- a/packages/node/src/ebonyhaven_node/_run_claims.py
+++ b/packages/node/src/ebonyhaven_node/_run_claims.py
@@ -14,9 +14,9 @@
 
 from ebonyhaven_node._claim_records import Claim, ClaimTimeout
 from ebonyhaven_node._claims import ClaimStore
+from ebonyhaven_node._driver_dependencies import RETRY_AFTER_S
 from ebonyhaven_node._failures import make_failure
 from ebonyhaven_node._requests import GenerationRequest
-from ebonyhaven_node._run_parts import RETRY_AFTER_S
 
 FIRST_EPOCH = 1
 
--- a/packages/node/src/ebonyhaven_node/_runs.py
+++ b/packages/node/src/ebonyhaven_node/_runs.py
@@ -19,7 +19,7 @@
     """Receives the output of a run for one caller's connection."""
 
     @abc.abstractmethod
-    def take_output(self) -> None:
+    def handle_output(self) -> None:
         """Take new tokens of the run, or its end."""
 
 
@@ -127,7 +127,7 @@
         self.ended_at = time.monotonic()
         self._notify()
 
-    def holds(self, position: EventId) -> bool:
+    def contains_position(self, position: EventId) -> bool:
         """Tell whether a caller's position lies in this very generation.
 
         Parameters
@@ -161,7 +161,7 @@
 
     def _notify(self) -> None:
         for sink in tuple(self.sinks):
-            sink.take_output()
+            sink.handle_output()
 
 
 class RunRegistry:
--- a/packages/node/src/ebonyhaven_node/_silence.py
+++ b/packages/node/src/ebonyhaven_node/_silence.py
@@ -16,7 +16,7 @@
 MAX_IDLE_PROBES_QUEUED = 5
 
 
-class SilenceWatch:
+class SilenceDetector:
     """Arrival times of one run's tokens.
 
     Parameters
--- a/packages/node/src/ebonyhaven_node/_sinks.py
+++ b/packages/node/src/ebonyhaven_node/_sinks.py
@@ -96,10 +96,10 @@
         self._keep_alive_timer = self._reactor.callLater(
             self._keep_alive_interval_s, self._send_keep_alive
         )
-        self.take_output()
+        self.handle_output()
 
-    def take_output(self) -> None:
-        """See `Sink.take_output`; writes nothing while the connection is paused."""
+    def handle_output(self) -> None:
+        """See `Sink.handle_output`; writes nothing while the connection is paused."""
         if self._is_closed or self._is_paused:
             return
         if self._run.accepted_by != self._announced_server and not self._run.texts:
@@ -116,7 +116,7 @@
     def resumeProducing(self) -> None:  # noqa: N802 name given by Twisted
         """Resume writing."""
         self._is_paused = False
-        self.take_output()
+        self.handle_output()
 
     def stopProducing(self) -> None:  # noqa: N802 name given by Twisted
         """Stop relaying, since the connection is closed."""
--- a/packages/node/src/ebonyhaven_node/_stream_opener.py
+++ b/packages/node/src/ebonyhaven_node/_stream_opener.py
@@ -12,20 +12,20 @@
 from ebonyhaven_node._candidates import Candidate, CandidateSet
 from ebonyhaven_node._claim_records import ClaimUnavailable
 from ebonyhaven_node._content_guard import ContentGuard
-from ebonyhaven_node._engines import CONNECTION_REFUSED, StartBody, StreamReceiver
-from ebonyhaven_node._failures import make_failure
-from ebonyhaven_node._lifecycles import RunLifecycle
-from ebonyhaven_node._run_claims import RunClaim
-from ebonyhaven_node._run_parts import (
+from ebonyhaven_node._driver_dependencies import (
     RETRY_AFTER_S,
-    DriverParts,
+    DriverDependencies,
     RunTargets,
     make_generation,
 )
+from ebonyhaven_node._engines import CONNECTION_REFUSED, StartBody, StreamReceiver
+from ebonyhaven_node._failures import make_failure
+from ebonyhaven_node._lifecycles import RunLifecycle
+from ebonyhaven_node._run_claims import RunClaim
 from ebonyhaven_node._runs import Run
 from ebonyhaven_node._scheduling import Slot, SlotRequest
 from ebonyhaven_node._servers import BackendServer
-from ebonyhaven_node._silence import SilenceWatch
+from ebonyhaven_node._silence import SilenceDetector
 from ebonyhaven_node.exceptions import EngineLost, EngineRefusal
 
 ACCEPT_TIMEOUT_SHARE = 0.25
@@ -43,12 +43,12 @@
     ----------
     run : Run
     targets : RunTargets
-    parts : DriverParts
+    dependencies : DriverDependencies
     candidates : CandidateSet
         Receives the streams that were opened.
     claim : RunClaim
     guard : ContentGuard
-    silence : SilenceWatch
+    silence : SilenceDetector
     lifecycle : RunLifecycle
     receiver : StreamReceiver
         Receives the tokens of the streams.
@@ -58,11 +58,11 @@
 
     _run: Run
     _targets: RunTargets
-    _parts: DriverParts
+    _dependencies: DriverDependencies
     _candidates: CandidateSet
     _claim: RunClaim
     _guard: ContentGuard
-    _silence: SilenceWatch
+    _silence: SilenceDetector
     _lifecycle: RunLifecycle
     _receiver: StreamReceiver
     may_have_run: bool = attrs.field(default=False, init=False)
@@ -112,13 +112,13 @@
                 continue
             ran = self.may_have_run
             await self._guard.check(OutcomeTag.FAILED if ran else OutcomeTag.NOT_RUN)
-            self._run.generation = make_generation(self._parts.rng)
+            self._run.generation = make_generation(self._dependencies.rng)
             excluded.add(slot.server.name)
             if len(excluded) >= len(
-                self._parts.servers.list_in_pools(self._targets.pools)
+                self._dependencies.servers.list_in_pools(self._targets.pools)
             ):
                 excluded.clear()
-                await task.deferLater(self._parts.reactor, RETRY_DELAY_S)
+                await task.deferLater(self._dependencies.reactor, RETRY_DELAY_S)
 
     async def _start_on(self, slot: Slot, deadline: float) -> bool:
         """Try one server; tell whether the run is under way."""
@@ -178,7 +178,7 @@
         if not dispatch:
             slot.release()
             self._run.generation = self._claim.generation
-            await self.chase(self._parts.servers.find(self._claim.server))
+            await self.chase(self._dependencies.servers.find(self._claim.server))
         return dispatch
 
     async def _acquire_start(
@@ -193,7 +193,9 @@
             retry=retry,
             arrival=self._silence.accepted_at,
         )
-        self._acquiring = ensureDeferred(self._parts.scheduling.acquire(slot_request))
+        self._acquiring = ensureDeferred(
+            self._dependencies.scheduling.acquire(slot_request)
+        )
         try:
             return await self._acquiring
         except CancelledError as error:
@@ -228,7 +230,7 @@
                 pass
             if time.monotonic() > deadline:
                 break
-            await task.deferLater(self._parts.reactor, ATTACH_RETRY_DELAY_S)
+            await task.deferLater(self._dependencies.reactor, ATTACH_RETRY_DELAY_S)
         raise make_failure(
             OutcomeTag.UNKNOWN,
             "attach",
@@ -250,9 +252,9 @@
         ------
         EngineRefusal, EngineLost
         """
-        slot = self._parts.scheduling.adopt(server)
+        slot = self._dependencies.scheduling.adopt(server)
         try:
-            stream = await self._parts.engines.attach(
+            stream = await self._dependencies.engines.attach(
                 server,
                 self._run.request.run_id,
                 offset=len(self._run.texts),
@@ -294,7 +296,7 @@
                 if not asks_again or time.monotonic() > deadline:
                     raise
                 was_closed = was_closed or lost.closed
-            await task.deferLater(self._parts.reactor, ATTACH_RETRY_DELAY_S)
+            await task.deferLater(self._dependencies.reactor, ATTACH_RETRY_DELAY_S)
 
     async def open_stream(
         self, slot: Slot, *, continue_from: list[str] | None = None
@@ -319,7 +321,7 @@
         self._silence.record_dispatch()
         body = self._make_body(slot, continue_from)
         try:
-            stream = await self._parts.engines.start(
+            stream = await self._dependencies.engines.start(
                 slot.server, body, receiver=self._receiver, timeout_s=self.accept_s
             )
         except EngineLost:
@@ -337,7 +339,9 @@
         ----------
         server : BackendServer
         """
-        self._parts.orphans.cancel(server, self._run.request.run_id, self._attempt)
+        self._dependencies.orphans.cancel(
+            server, self._run.request.run_id, self._attempt
+        )
 
     def _make_body(self, slot: Slot, continue_from: list[str] | None) -> StartBody:
         request = self._run.request
--- a/tests/node/test_runs.py
+++ b/tests/node/test_runs.py
@@ -30,16 +30,18 @@
 def test_position_counts_only_where_the_token_came_from_the_same_server():
     run = make_run("abc")
     run.append(["d"], server="s2")
-    assert run.holds(EventId(2, GENERATION, "s1"))
-    assert run.holds(EventId(3, GENERATION, "s2"))
-    assert not run.holds(EventId(3, GENERATION, "s1"))
-    assert not run.holds(EventId(1, GENERATION, "s2"))
+    assert run.contains_position(EventId(2, GENERATION, "s1"))
+    assert run.contains_position(EventId(3, GENERATION, "s2"))
+    assert not run.contains_position(EventId(3, GENERATION, "s1"))
+    assert not run.contains_position(EventId(1, GENERATION, "s2"))
 
 
 def test_position_of_another_generation_is_not_held():
-    assert not make_run("abc").holds(EventId(1, OTHER, "s1"))
+    assert not make_run("abc").contains_position(EventId(1, OTHER, "s1"))
 
 
 def test_caller_without_a_token_joins_a_run_that_was_started_again():
-    assert make_run().holds(EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9"))
-    assert make_run("abc").holds(EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9"))
+    assert make_run().contains_position(EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9"))
+    assert make_run("abc").contains_position(
+        EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9")
+    )
