--- a/packages/node/src/ebonyhaven_node/_candidates.py
+++ b/packages/node/src/ebonyhaven_node/_candidates.py
@@ -1,4 +1,4 @@
-"""Open engine streams of one run, of which the first to deliver is kept."""
+"""Open engine streams of a run; the first one to deliver a token is kept."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @attrs.define(slots=True, kw_only=True, eq=False)
 class Candidate:
-    """One open engine stream of a run.
+    """An open engine stream of a run.
 
     Parameters
     ----------
     stream : EngineStream
     slot : Slot
     attempt : int
-        Number of the attempt at the engine.
+        Number of the attempt that the stream belongs to.
     """
 
     stream: EngineStream
@@ -32,36 +32,36 @@
 
 
 class CandidateSet:
-    """The open streams of one run.
+    """Open engine streams of a run.
 
     Parameters
     ----------
     run : Run
     orphans : OrphanCanceller
-        Cancels what is given up.
+        Cancels attempts whose streams are dropped.
 
     Attributes
     ----------
     primary : BackendServer or None
-        Where the run was last known to be.
-    primary_since : int
-        Number of tokens of the run when it came there.
+        Backend server on which the run was last known to be.
+    primary_first_offset : int
+        Offset of the first token relayed from the primary server.
     """
 
-    __slots__ = ("_candidates", "_orphans", "_run", "primary", "primary_since")
+    __slots__ = ("_candidates", "_orphans", "_run", "primary", "primary_first_offset")
 
     def __init__(self, *, run: Run, orphans: OrphanCanceller):
         self._run = run
         self._orphans = orphans
         self._candidates: list[Candidate] = []
         self.primary: BackendServer | None = None
-        self.primary_since = 0
+        self.primary_first_offset = 0
 
     def __bool__(self) -> bool:
         return bool(self._candidates)
 
     def add(self, candidate: Candidate) -> None:
-        """Add a stream that was just opened.
+        """Add a newly opened stream.
 
         Parameters
         ----------
@@ -69,19 +69,21 @@
         """
         self._candidates.append(candidate)
         if not self._run.texts:
-            self._run.announce(candidate.stream.server.name)
+            self._run.record_acceptance(candidate.stream.server.name)
         if self.primary is None or len(self._candidates) == 1:
             self._set_primary(candidate)
 
     def find(self, stream: EngineStream) -> Candidate | None:
-        """Return the candidate of a stream; None if it was given up."""
+        """Return the candidate of a stream, or None if it was dropped."""
         for candidate in self._candidates:
             if candidate.stream is stream:
                 return candidate
         return None
 
     def promote(self, winner: Candidate) -> None:
-        """Keep the stream that delivered first and give the others up.
+        """Keep the stream that delivered the next token and drop the others.
+
+        Attempts on other servers are cancelled.
 
         Parameters
         ----------
@@ -96,7 +98,7 @@
         self._set_primary(winner)
 
     def drop(self, candidate: Candidate) -> None:
-        """Close a stream without cancelling the run behind it.
+        """Close a stream and release its slot, without cancelling its attempt.
 
         Parameters
         ----------
@@ -108,12 +110,12 @@
         candidate.slot.release()
 
     def drop_all(self, *, cancel: bool) -> None:
-        """Close all streams.
+        """Drop all streams.
 
         Parameters
         ----------
         cancel : bool
-            Whether to cancel the run behind each as well.
+            Whether to cancel their attempts as well.
         """
         for candidate in list(self._candidates):
             self.drop(candidate)
@@ -121,7 +123,7 @@
                 self.cancel(candidate)
 
     def cancel(self, candidate: Candidate) -> None:
-        """Cancel the run behind a stream in the background.
+        """Cancel the attempt of a stream in the background.
 
         Parameters
         ----------
@@ -130,12 +132,13 @@
         run_id = self._run.request.run_id
         self._orphans.cancel(candidate.stream.server, run_id, candidate.attempt)
 
-    def select_fresh(self, tokens: Sequence[Token]) -> Sequence[Token]:
-        """Leave out tokens that another stream has delivered already.
+    def select_new_tokens(self, tokens: Sequence[Token]) -> Sequence[Token]:
+        """Return the tokens that the run does not have yet.
 
         Parameters
         ----------
         tokens : sequence of Token
+            Consecutive tokens.
 
         Returns
         -------
@@ -149,5 +152,5 @@
     def _set_primary(self, candidate: Candidate) -> None:
         server = candidate.stream.server
         if server is not self.primary:
-            self.primary_since = len(self._run.texts)
+            self.primary_first_offset = len(self._run.texts)
         self.primary = server
--- a/packages/node/src/ebonyhaven_node/_driver_dependencies.py
+++ b/packages/node/src/ebonyhaven_node/_driver_dependencies.py
@@ -1,4 +1,4 @@
-"""What the drivers of runs share: targets, parts of the node, failures."""
+"""Targets and dependencies of run drivers."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from ebonyhaven_node._scheduling import SlotScheduler
 from ebonyhaven_node._servers import BackendServers
 
-GENERATION_DIGITS = 8
+GENERATION_HEX_DIGITS = 8
 RETRY_AFTER_S = 1.0
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class RunTargets:
-    """What the declaration asks for a request.
+    """Targets that the declaration sets for a run.
 
     Parameters
     ----------
     first_token_s, resume_s : float
         Targets of the class, seconds.
     may_wait_s : float
-        Time that a request may wait for room, seconds.
+        Time that a request may wait for a slot, seconds.
     pools : frozenset of str
         Pools that serve the model.
     """
@@ -41,7 +41,7 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class DriverDependencies:
-    """Parts of the node that drivers use.
+    """Components of the node that run drivers use.
 
     Parameters
     ----------
@@ -55,7 +55,8 @@
     reactor : IReactorTime
     rng : random.Random
     continue_runs : bool
-        False for the baseline, which gives a run up when its engine dies.
+        Whether to continue a run on another engine if its engine fails. False
+        fails the run; this is the baseline for comparisons.
     """
 
     engines: EngineClient
@@ -71,7 +72,7 @@
 
 
 def make_generation(rng: random.Random) -> str:
-    """Return an identity for a new generation.
+    """Return a random identity for a new generation.
 
     Parameters
     ----------
@@ -82,4 +83,4 @@
     str
         Eight hexadecimal digits.
     """
-    return f"{rng.getrandbits(4 * GENERATION_DIGITS):0{GENERATION_DIGITS}x}"
+    return f"{rng.getrandbits(4 * GENERATION_HEX_DIGITS):0{GENERATION_HEX_DIGITS}x}"
--- a/packages/node/src/ebonyhaven_node/_drivers.py
+++ b/packages/node/src/ebonyhaven_node/_drivers.py
@@ -1,8 +1,8 @@
-"""Taking one run from its acceptance to its end.
+"""Drivers that execute runs on engines and recover them after losses.
 
-A driver opens the engine streams of one run. Several may be open while the engine
-is suspected: the first one that delivers the next token is kept and the others
-are dropped, so no token is relayed twice and no two generations mix.
+A driver may have several engine streams of its run open while the engine is
+suspected. The first one that delivers the next token is kept and the others are
+dropped, so that no token is relayed twice and no two generations are mixed.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 from ebonyhaven_node._stream_opener import StreamOpener
 from ebonyhaven_node.exceptions import EngineLost, EngineRefusal, NodeError
 
-RESUME_DEADLINE_S = 30.0
+RESUME_TIMEOUT_S = 30.0
 DETACH_GRACE_S = 0.6
 
 _log = structlog.get_logger()
 
 
 class Signal(enum.Enum):
-    """What wakes a driver."""
+    """Events that a driver waits for."""
 
     SILENCE = "silence"
     LOST = "lost"
@@ -56,7 +56,7 @@
 
 
 class RunDriver:
-    """Drives one run; receives the tokens of its engine streams.
+    """Executes a run on engines and recovers it when a stream is silent or lost.
 
     Parameters
     ----------
@@ -75,7 +75,7 @@
         self._signals = DeferredQueue()
         self._candidates = CandidateSet(run=run, orphans=dependencies.orphans)
         self._claim = RunClaim(request=run.request, claims=dependencies.claims)
-        self._silence = SilenceDetector(
+        self._silence_detector = SilenceDetector(
             run=run,
             resume_target_s=targets.resume_s,
             metrics=dependencies.metrics.bind(
@@ -90,7 +90,7 @@
             crashes=dependencies.crashes,
             reactor=dependencies.reactor,
         )
-        self._lifecycle = start_lifecycle(StateObserver(self._note_state))
+        self._lifecycle = start_lifecycle(StateObserver(self._log_state))
         self._opener = StreamOpener(
             run=run,
             targets=targets,
@@ -98,28 +98,29 @@
             candidates=self._candidates,
             claim=self._claim,
             guard=self._guard,
-            silence=self._silence,
+            silence_detector=self._silence_detector,
             lifecycle=self._lifecycle,
             receiver=self,
         )
         run.on_detached = self._handle_detached
         run.on_attached = self._stop_detach_timer
 
-    # -- ways to begin -----------------------------------------------------
+    # -- entry points ------------------------------------------------------
 
     async def drive_new_run(self) -> None:
-        """Start the run on an engine and see it to its end."""
-        await self._drive(self._open_fresh())
+        """Start the run on an engine and follow it to its end."""
+        await self._drive(self._open_new())
 
     async def drive_existing_run(self, server: BackendServer | None) -> None:
-        """Find the run on the engine that has it, and see it to its end.
+        """Attach to a run that an engine has, or continue it; follow it to its end.
 
         Parameters
         ----------
         server : BackendServer or None
-            Backend server named by the caller's position, if it is known here.
+            Backend server named in the caller's position; None if this instance does
+            not know it.
         """
-        await self._drive(self._open_attached(server))
+        await self._drive(self._open_existing(server))
 
     # -- StreamReceiver ----------------------------------------------------
 
@@ -129,19 +130,19 @@
         if candidate is None or self._run.ended:
             self._dependencies.metrics.tokens_dropped.inc(len(tokens))
             return
-        fresh = self._candidates.select_fresh(tokens)
-        if not fresh:
+        new_tokens = self._candidates.select_new_tokens(tokens)
+        if not new_tokens:
             return
         self._candidates.promote(candidate)
-        if self._silence.record_arrival():
+        if self._silence_detector.record_arrival():
             self._lifecycle.stream()
-        texts = [token.text for token in fresh if token.finish_reason is None]
+        texts = [token.text for token in new_tokens if token.finish_reason is None]
         if texts:
             candidate.slot.record_tokens(len(texts))
             self._run.append(texts, server=stream.server.name)
-        if fresh[-1].finish_reason is not None:
+        if new_tokens[-1].finish_reason is not None:
             candidate.slot.record_completion()
-            self._complete(fresh[-1].finish_reason)
+            self._complete(new_tokens[-1].finish_reason)
 
     def receive_loss(self, stream: EngineStream, reason: str) -> None:
         """See `StreamReceiver.receive_loss`."""
@@ -152,15 +153,15 @@
         if not self._candidates:
             self._signals.put(Signal.LOST)
 
-    # -- following a run ---------------------------------------------------
+    # -- supervision -------------------------------------------------------
 
     async def _drive(self, opening: Coroutine) -> None:
         self._dependencies.metrics.open_runs.inc()
         try:
             await opening
-            await self._follow()
+            await self._process_signals()
         except RequestFailure as failure:
-            self._fail(self._judge_outcome(failure.outcome))
+            self._fail(self._adjust_outcome(failure.outcome))
         except Exception:
             _log.exception("run_driver_error", run_id=self._request.run_id)
             failure = make_failure(OutcomeTag.UNKNOWN, "drive", "internal error")
@@ -169,84 +170,97 @@
             self._dependencies.metrics.open_runs.dec()
             self._close()
 
-    def _judge_outcome(self, outcome: Outcome) -> Outcome:
-        """Return ``unknown`` for a refusal that follows an attempt that may have run.
+    def _adjust_outcome(self, outcome: Outcome) -> Outcome:
+        """Change ``not_run`` to ``unknown`` if an earlier attempt may have run.
 
-        What refuses a further attempt, such as the queue, does not know of earlier
-        ones.
+        The component that rejects the last attempt, such as the queue, does not
+        consider earlier ones.
         """
         if outcome.tag is OutcomeTag.NOT_RUN and self._opener.may_have_run:
             return dataclasses.replace(outcome, tag=OutcomeTag.UNKNOWN)
         return outcome
 
-    async def _follow(self) -> None:
-        self._silence.arm()
+    async def _process_signals(self) -> None:
+        self._silence_detector.arm()
         while not self._run.ended:
             signal = await self._signals.get()
             if signal is Signal.ABANDONED:
                 self._abandon()
             elif self._needs_recovery(signal):
                 await self._recover(signal)
-                self._silence.arm()
+                self._silence_detector.arm()
 
     def _needs_recovery(self, signal: Signal) -> bool:
-        """Tell whether a signal still applies; tokens may have come since."""
+        """Return whether a signal still applies.
+
+        Another stream may have been opened, or the run may have ended, since the
+        signal was queued.
+        """
         if self._run.ended or signal is Signal.ENDED:
             return False
         return signal is Signal.SILENCE or not self._candidates
 
     async def _recover(self, signal: Signal) -> None:
-        """Bring a silent or broken stream to go on."""
+        """Recover a run whose stream is silent or lost.
+
+        The engine is probed. Unless it still has the run and may be waited for, the
+        run is continued elsewhere; this starts in parallel with the probe if the
+        resume plan requires it and the request is repeatable.
+        """
         if not self._dependencies.continue_runs:
-            raise self._fail_at_server(OutcomeTag.FAILED, "relay", "engine lost")
+            raise self._make_server_failure(OutcomeTag.FAILED, "relay", "engine lost")
         self._dependencies.metrics.suspicions.labels(signal.value).inc()
         self._lifecycle.suspect()
-        self._silence.record_suspicion()
+        self._silence_detector.record_suspicion()
         suspected, length = self._candidates.primary, len(self._run.texts)
-        plan = self._silence.plan()
-        prepared = None
-        if plan.prepare_in_parallel and self._may_prepare():
-            prepared = ensureDeferred(self._continue({suspected.name}, length))
+        plan = self._silence_detector.compute_resume_plan()
+        parallel_continuation = None
+        if plan.prepare_in_parallel and self._may_continue_in_parallel():
+            parallel_continuation = ensureDeferred(
+                self._continue_elsewhere({suspected.name}, length)
+            )
         alive = await self._probe(suspected, plan.probe_timeout_s)
-        if self._has_moved(length) or (alive and self._silence.allows_waiting()):
-            if prepared is not None:
-                prepared.addErrback(_ignore_failure)
+        if self._has_progressed(length) or (
+            alive and self._silence_detector.allows_waiting()
+        ):
+            if parallel_continuation is not None:
+                parallel_continuation.addErrback(_ignore_failure)
             return
-        if prepared is None:
-            await self._continue({suspected.name}, length)
+        if parallel_continuation is None:
+            await self._continue_elsewhere({suspected.name}, length)
         else:
-            await prepared
+            await parallel_continuation
 
-    def _has_moved(self, length: int) -> bool:
-        """Tell whether the run has gone on since it was suspected."""
+    def _has_progressed(self, length: int) -> bool:
+        """Return whether the run has ended or got tokens beyond a length."""
         return self._run.ended or len(self._run.texts) > length
 
-    def _may_prepare(self) -> bool:
+    def _may_continue_in_parallel(self) -> bool:
         return self._request.repeatable and bool(self._run.texts)
 
     async def _probe(self, server: BackendServer, timeout_s: float) -> bool:
-        """Attach again on a new connection; tell whether the run is there."""
-        self._silence.record_probe()
+        """Attach on a new connection and return whether the engine has the run."""
+        self._silence_detector.record_probe()
         try:
-            await self._opener.attach_again(server, timeout_s=timeout_s)
+            await self._opener.probe(server, timeout_s=timeout_s)
         except EngineRefusal as refusal:
             if refusal.status == 404 or refusal.reason == CONNECTION_REFUSED:
                 self._record_death(server)
             return False
         except EngineLost as lost:
-            # A middlebox before a dead engine accepts the connection and closes it.
+            # A proxy in front of a dead engine accepts the connection and closes it.
             if lost.closed:
                 self._record_death(server)
             return False
         return True
 
     def _record_death(self, server: BackendServer) -> None:
-        progress = len(self._run.texts) - self._candidates.primary_since
+        progress = len(self._run.texts) - self._candidates.primary_first_offset
         self._guard.record_death(server, progress_tokens=progress)
 
-    # -- continuing elsewhere ----------------------------------------------
+    # -- continuation ------------------------------------------------------
 
-    async def _continue(self, excluded: set[str], length: int) -> None:
+    async def _continue_elsewhere(self, excluded: set[str], length: int) -> None:
         """Continue the run on another server from the tokens relayed so far.
 
         Parameters
@@ -254,24 +268,24 @@
         excluded : set of str
             Backend servers that must not be chosen; failed ones are added.
         length : int
-            Number of tokens at the time of the loss.
+            Number of tokens when the run was suspected.
         """
-        deadline = time.monotonic() + RESUME_DEADLINE_S
-        while not self._has_moved(length):
+        deadline = time.monotonic() + RESUME_TIMEOUT_S
+        while not self._has_progressed(length):
             await self._guard.check(OutcomeTag.FAILED)
             if not self._run.texts:
                 await self._restart(excluded, deadline)
                 return
-            slot = await self._acquire_resume(excluded, deadline)
+            slot = await self._acquire_resume_slot(excluded, deadline)
             if await self._continue_on(slot, length, deadline):
                 return
             excluded.add(slot.server.name)
 
     async def _continue_on(self, slot: Slot, length: int, deadline: float) -> bool:
-        """Try one server; tell whether the matter is settled."""
+        """Try one server; return False if another one must be tried."""
         if self._claim.is_required and not await self._move_claim(slot, deadline):
             return True
-        if self._has_moved(length):
+        if self._has_progressed(length):
             slot.release()
             return True
         self._lifecycle.continue_elsewhere()
@@ -285,14 +299,17 @@
             return False
         except EngineLost:
             slot.release()
-            return await self._opener.settle_lost_attempt(slot.server)
-        if self._has_moved(length):
+            return await self._opener.resolve_lost_attempt(slot.server)
+        if self._has_progressed(length):
             self._candidates.drop(opened)
             self._candidates.cancel(opened)
         return True
 
     async def _move_claim(self, slot: Slot, deadline: float) -> bool:
-        """Take the claim along; attach to the winner's run where that is lost."""
+        """Move the claim to the server of a slot.
+
+        If another instance has moved it first, attach to its run and return False.
+        """
         self._candidates.drop_all(cancel=True)
         try:
             moved = await self._claim.move(server=slot.server.name, deadline=deadline)
@@ -301,12 +318,12 @@
             raise
         if not moved:
             slot.release()
-            await self._opener.chase(
+            await self._opener.attach_with_retries(
                 self._dependencies.servers.find(self._claim.server)
             )
         return moved
 
-    async def _acquire_resume(self, excluded: set[str], deadline: float) -> Slot:
+    async def _acquire_resume_slot(self, excluded: set[str], deadline: float) -> Slot:
         slot_request = SlotRequest(
             request=self._request,
             pools=self._targets.pools,
@@ -325,26 +342,32 @@
             ) from failure
 
     async def _restart(self, excluded: set[str], deadline: float) -> None:
-        """Start again where no token has reached the caller."""
+        """Restart a run of which no token was relayed.
+
+        A run with a claim is not restarted but attached to.
+        """
         if self._claim.is_required:
-            await self._opener.chase(self._candidates.primary)
+            await self._opener.attach_with_retries(self._candidates.primary)
             return
         self._candidates.drop_all(cancel=True)
         self._run.generation = make_generation(self._dependencies.rng)
         await self._opener.start(deadline, excluded=excluded, resume=True)
 
-    # -- starting ----------------------------------------------------------
+    # -- start -------------------------------------------------------------
 
-    async def _open_fresh(self) -> None:
+    async def _open_new(self) -> None:
         await self._guard.check(OutcomeTag.NOT_RUN)
         targets = self._targets
         wait_s = targets.may_wait_s + targets.first_token_s
-        await self._opener.start(self._silence.accepted_at + wait_s)
+        await self._opener.start(self._silence_detector.accepted_at + wait_s)
 
-    # -- attaching ---------------------------------------------------------
+    # -- attachment --------------------------------------------------------
 
-    async def _open_attached(self, server: BackendServer | None) -> None:
-        """Attach where the caller's position says; else continue from its texts."""
+    async def _open_existing(self, server: BackendServer | None) -> None:
+        """Attach to the server in the caller's position, or continue elsewhere.
+
+        A continuation requires the tokens that the caller has received.
+        """
         self._lifecycle.dispatch()
         self._opener.may_have_run = True
         received = self._request.received
@@ -352,25 +375,25 @@
             self._run.append(list(received), server=self._request.last_event.server)
         excluded = set() if server is None else {server.name}
         try:
-            await self._attach_known(server)
+            await self._attach_to_server(server)
         except EngineRefusal as error:
             if error.reason == CONNECTION_REFUSED:
                 progress = self._request.first_offset
                 self._guard.record_death(server, progress_tokens=progress)
-            await self._resume_from_texts(excluded, OutcomeTag.FAILED, error)
+            await self._resume_from_received_tokens(excluded, OutcomeTag.FAILED, error)
         except EngineLost as error:
-            await self._resume_from_texts(excluded, OutcomeTag.UNKNOWN, error)
+            await self._resume_from_received_tokens(excluded, OutcomeTag.UNKNOWN, error)
 
-    async def _attach_known(self, server: BackendServer | None) -> None:
+    async def _attach_to_server(self, server: BackendServer | None) -> None:
         if server is None:
             raise EngineLost(peer=self._request.last_event.server, step="find")
         self._candidates.primary = server
-        await self._opener.attach(server, timeout_s=self._opener.accept_s)
+        await self._opener.attach(server, timeout_s=self._opener.accept_timeout_s)
 
-    async def _resume_from_texts(
+    async def _resume_from_received_tokens(
         self, excluded: set[str], tag: OutcomeTag, error: NodeError
     ) -> None:
-        """Continue from the tokens at hand, or tell that there are none."""
+        """Continue from the received tokens; fail if they are missing."""
         if not self._run.texts and self._request.first_offset > 0:
             raise make_failure(
                 tag,
@@ -380,8 +403,8 @@
                 retry_after_s=RETRY_AFTER_S if tag is OutcomeTag.UNKNOWN else None,
             ) from error
         self._lifecycle.suspect()
-        self._silence.record_suspicion(since=time.monotonic())
-        await self._continue(excluded, len(self._run.texts))
+        self._silence_detector.record_suspicion(since=time.monotonic())
+        await self._continue_elsewhere(excluded, len(self._run.texts))
 
     # -- end ---------------------------------------------------------------
 
@@ -396,7 +419,7 @@
             self._run.fail(outcome)
 
     def _abandon(self) -> None:
-        """Stop a run that no caller is attached to any more."""
+        """Stop the run if no caller is attached."""
         if self._run.sinks or self._run.ended:
             return
         self._candidates.drop_all(cancel=True)
@@ -405,18 +428,18 @@
         self._fail(failure.outcome)
 
     def _close(self) -> None:
-        self._silence.disarm()
+        self._silence_detector.disarm()
         self._stop_detach_timer()
         self._candidates.drop_all(cancel=False)
 
     def _handle_detached(self) -> None:
         if self._request.repeatable and self._detach_timer is None:
             self._detach_timer = self._dependencies.reactor.callLater(
-                DETACH_GRACE_S, self._announce_abandoned
+                DETACH_GRACE_S, self._handle_detach_timeout
             )
 
-    def _announce_abandoned(self) -> None:
-        """Wake the driver, or end its wait for room."""
+    def _handle_detach_timeout(self) -> None:
+        """Cancel a pending slot request, or signal that the run is abandoned."""
         if not self._opener.cancel_acquisition():
             self._signals.put(Signal.ABANDONED)
 
@@ -425,17 +448,17 @@
             self._detach_timer.cancel()
         self._detach_timer = None
 
-    def _fail_at_server(
+    def _make_server_failure(
         self, tag: OutcomeTag, step: str, reason: str
     ) -> RequestFailure:
         primary = self._candidates.primary
         peer = "self" if primary is None else primary.name
         return make_failure(tag, step, reason, peer=peer, retry_after_s=0.0)
 
-    def _note_state(self, state: RunState) -> None:
+    def _log_state(self, state: RunState) -> None:
         _log.debug("run_state", run_id=self._request.run_id, state=state.value)
 
 
 def _ignore_failure(failure: Failure) -> None:
-    """Drop the failure of a preparation that turned out not to be needed."""
+    """Ignore the failure of a parallel continuation that is not needed."""
     failure.trap(RequestFailure)
--- a/packages/node/src/ebonyhaven_node/_engines.py
+++ b/packages/node/src/ebonyhaven_node/_engines.py
@@ -1,4 +1,4 @@
-"""Client of the model engines: starting, attaching and cancelling runs."""
+"""HTTP client that starts, attaches to and cancels runs on model engines."""
 
 from __future__ import annotations
 
@@ -26,7 +26,8 @@
 ERROR_BODY_TIMEOUT_S = 1.0
 CONNECTION_REFUSED = "connection refused"
 UNREACHABLE = "unreachable"
-_NOT_SENT = (
+# Raised before the connection is established, so the request was not sent.
+_NOT_SENT_ERRORS = (
     error.ConnectError,
     error.ConnectingCancelledError,
     error.ConnectionRefusedError,
@@ -35,7 +36,7 @@
 
 
 class StartBody(TypedDict, total=False):
-    """Body of a start or a continuation; see docs/PROTOCOLS.md."""
+    """Request body that starts or continues a run; see docs/PROTOCOLS.md."""
 
     run_id: str
     generation: str
@@ -51,26 +52,25 @@
 
 
 class StreamReceiver(Protocol):
-    """What receives the tokens of an engine's stream."""
+    """Receives the tokens of an engine stream."""
 
     def receive_tokens(self, stream: EngineStream, tokens: Sequence[Token]) -> None:
-        """Take consecutive tokens that arrived together."""
+        """Handle consecutive tokens that arrived together."""
 
     def receive_loss(self, stream: EngineStream, reason: str) -> None:
-        """Take note that the stream ended before its last token."""
+        """Handle a stream that ended before its last token."""
 
 
 class EngineStream(TwistedProtocol):
-    """One event stream of an engine.
+    """Event stream of a run from an engine.
 
     Parameters
     ----------
     server : BackendServer
-        Where it comes from.
+        Backend server that sends the stream.
     offset : int
-        Offset of the first token that is expected.
+        Offset of the first expected token.
     receiver : StreamReceiver
-        What receives the tokens.
     """
 
     def __init__(self, *, server: BackendServer, offset: int, receiver: StreamReceiver):
@@ -82,31 +82,34 @@
         self._parser = EventParser()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 name given by Twisted
-        """Parse what arrived and pass the tokens on."""
+        """Parse received bytes and pass the tokens to the receiver."""
         if self._receiver is None:
             return
         self.last_arrival = time.monotonic()
         try:
             tokens = self._parser.feed(data)
             self._check_order(tokens)
-        except (ValueError, LookupError) as problem:
-            self._lose(f"malformed stream: {problem}")
+        except (ValueError, LookupError) as exc:
+            self._report_loss(f"malformed stream: {exc}")
             return
         if tokens:
             self.tokens_received += len(tokens)
             self._receiver.receive_tokens(self, tokens)
 
     def connectionLost(self, reason: Failure = None) -> None:  # noqa: N802
-        """Report a stream that broke; the regular end was reported as a token."""
+        """Report the loss of an incomplete stream.
+
+        A complete stream has delivered its end as a token.
+        """
         if reason is None or self._parser.done:
             return
         if reason.check(ResponseFailed, PotentialDataLoss, error.ConnectionLost):
-            self._lose("connection lost")
+            self._report_loss("connection lost")
         else:
-            self._lose("stream ended early")
+            self._report_loss("stream ended early")
 
     def close(self) -> None:
-        """Stop reading; nothing is reported from here on."""
+        """Close the connection; the receiver gets no further calls."""
         self._receiver = None
         if self.transport is not None:
             self.transport.loseConnection()
@@ -115,12 +118,12 @@
         for token in tokens:
             if token.offset != self.next_offset:
                 raise ValueError(
-                    f"offset {token.offset} where {self.next_offset} was due"
+                    f"got offset {token.offset} where {self.next_offset} was expected"
                 )
             if token.finish_reason is None:
                 self.next_offset += 1
 
-    def _lose(self, reason: str) -> None:
+    def _report_loss(self, reason: str) -> None:
         receiver, self._receiver = self._receiver, None
         if self.transport is not None:
             self.transport.loseConnection()
@@ -129,12 +132,11 @@
 
 
 class EngineClient:
-    """Speaks to model engines, one connection a stream.
+    """HTTP client of model engines, with one connection per stream.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Twisted's reactor.
     """
 
     def __init__(self, reactor: IReactorTime):
@@ -158,7 +160,7 @@
         body : StartBody
         receiver : StreamReceiver
         timeout_s : float
-            Time within which the engine must accept, seconds.
+            Timeout for the response headers, seconds.
 
         Returns
         -------
@@ -167,19 +169,21 @@
         Raises
         ------
         EngineRefusal
-            The run was not accepted; nothing ran.
+            If the engine did not accept the run, so that nothing ran.
         EngineLost
-            The run may have been accepted.
+            If the engine may have accepted the run but did not respond.
         """
-        answer = self._client.post(
+        pending_response = self._client.post(
             f"http://{server.address}/v1/completions",
             data=json.dumps(body).encode(),
             headers={"Content-Type": "application/json"},
             unbuffered=True,
         )
-        response = await self._await_headers(server, answer, timeout_s, step="start")
+        response = await self._await_headers(
+            server, pending_response, timeout_s, step="start"
+        )
         offset = len(body.get("continue_from", ()))
-        return await self._open(server, response, offset, receiver)
+        return await self._open_stream(server, response, offset, receiver)
 
     async def attach(
         self,
@@ -199,14 +203,14 @@
         server : BackendServer
         run_id : str
         offset : int
-            First token wanted.
+            Offset of the first token to receive.
         generation : str
             Generation that the run must have.
         fence : int
-            Fence number of the attempt.
+            Fencing number of the attempt.
         receiver : StreamReceiver
         timeout_s : float
-            Time within which the engine must answer, seconds.
+            Timeout for the response headers, seconds.
 
         Returns
         -------
@@ -215,75 +219,79 @@
         Raises
         ------
         EngineRefusal
-            The engine does not have the run, or cannot be connected to.
+            If the engine does not have the run or is not reachable.
         EngineLost
-            The engine did not answer.
+            If the engine did not respond.
         """
         query = urlencode({"from": offset, "generation": generation, "fence": fence})
         url = f"http://{server.address}/v1/runs/{run_id}?{query}"
-        answer = self._client.get(url, unbuffered=True)
-        response = await self._await_headers(server, answer, timeout_s, step="attach")
-        return await self._open(server, response, offset, receiver)
+        pending_response = self._client.get(url, unbuffered=True)
+        response = await self._await_headers(
+            server, pending_response, timeout_s, step="attach"
+        )
+        return await self._open_stream(server, response, offset, receiver)
 
     async def cancel(
         self, server: BackendServer, run_id: str, *, attempt: int, timeout_s: float
     ) -> bool:
-        """Cancel an attempt that nobody is attached to.
+        """Cancel an attempt unless a connection is attached to its run.
 
         Parameters
         ----------
         server : BackendServer
         run_id : str
         attempt : int
-            Number of the attempt; a later one is left alone.
+            Number of the attempt; later attempts are not cancelled.
         timeout_s : float
-            Time within which the engine must answer, seconds.
+            Timeout for the response headers, seconds.
 
         Returns
         -------
         bool
-            False if somebody is attached to the run.
+            False if a connection is attached to the run.
 
         Raises
         ------
         EngineRefusal, EngineLost
-            The engine could not be reached.
+            If the engine could not be reached.
         """
         query = urlencode({"attempt": attempt, "if_detached": 1})
         url = f"http://{server.address}/v1/runs/{run_id}?{query}"
-        answer = self._client.delete(url)
-        response = await self._await_headers(server, answer, timeout_s, step="cancel")
-        answer = await treq.json_content(response)
-        return not answer.get("attended", False)
+        pending_response = self._client.delete(url)
+        response = await self._await_headers(
+            server, pending_response, timeout_s, step="cancel"
+        )
+        body = await treq.json_content(response)
+        return not body.get("attended", False)
 
     async def _await_headers(
         self,
         server: BackendServer,
-        answer: defer.Deferred,
+        pending_response: defer.Deferred,
         timeout_s: float,
         *,
         step: str,
     ) -> Any:
-        answer.addTimeout(timeout_s, self._reactor)
+        pending_response.addTimeout(timeout_s, self._reactor)
         try:
-            response = await answer
-        except _NOT_SENT as problem:
+            response = await pending_response
+        except _NOT_SENT_ERRORS as exc:
             server.record_unreachable(time.monotonic())
-            refused = _is_refused(problem)
+            refused = _is_refused(exc)
             raise EngineRefusal(
                 peer=server.name,
                 status=0,
                 reason=CONNECTION_REFUSED if refused else UNREACHABLE,
-            ) from problem
-        except Exception as problem:
+            ) from exc
+        except Exception as exc:
             server.record_unreachable(time.monotonic())
-            closed = _is_closed(problem)
-            raise EngineLost(peer=server.name, step=step, closed=closed) from problem
+            closed = _is_closed(exc)
+            raise EngineLost(peer=server.name, step=step, closed=closed) from exc
         server.record_answer()
         self._record_load(server, response.headers)
         return response
 
-    async def _open(
+    async def _open_stream(
         self,
         server: BackendServer,
         response: Any,
@@ -291,13 +299,13 @@
         receiver: StreamReceiver,
     ) -> EngineStream:
         if response.code != 200:
-            reason = await self._read_reason(response)
+            reason = await self._read_error_reason(response)
             raise EngineRefusal(peer=server.name, status=response.code, reason=reason)
         stream = EngineStream(server=server, offset=offset, receiver=receiver)
         response.deliverBody(stream)
         return stream
 
-    async def _read_reason(self, response: Any) -> str:
+    async def _read_error_reason(self, response: Any) -> str:
         content = treq.json_content(response)
         content.addTimeout(ERROR_BODY_TIMEOUT_S, self._reactor)
         try:
@@ -325,26 +333,26 @@
         )
 
 
-def _is_refused(problem: Exception) -> bool:
-    """Tell whether the other side, or what stands before it, turned us away.
+def _is_refused(exc: Exception) -> bool:
+    """Return whether the remote host or a proxy in between refused the connection.
 
-    A process that is dying, or a forwarder before a dead one, may reset a
-    connection while it is being made.
+    A connection that is reset during its establishment counts as refused: a
+    terminating process, or a proxy in front of a dead one, may reset it.
     """
-    if isinstance(problem, error.ConnectionRefusedError):
+    if isinstance(exc, error.ConnectionRefusedError):
         return True
-    return getattr(problem, "osError", None) == errno.ECONNRESET
+    return getattr(exc, "osError", None) == errno.ECONNRESET
 
 
-def _is_closed(problem: Exception) -> bool:
-    """Tell whether a connection was closed before its answer."""
-    if not isinstance(problem, ResponseFailed):
+def _is_closed(exc: Exception) -> bool:
+    """Return whether a connection was closed before the response headers."""
+    if not isinstance(exc, ResponseFailed):
         return False
     return any(
         reason.check(
             error.ConnectionLost, error.ConnectionDone, error.ConnectionAborted
         )
-        for reason in problem.reasons
+        for reason in exc.reasons
     )
 
 
--- a/packages/node/src/ebonyhaven_node/_lifecycles.py
+++ b/packages/node/src/ebonyhaven_node/_lifecycles.py
@@ -1,4 +1,4 @@
-"""Life cycle of a run, as seen by the instance that relays it."""
+"""State machine of a run on the instance that relays it."""
 
 from __future__ import annotations
 
@@ -22,37 +22,37 @@
 
 
 class RunLifecycle(Protocol):
-    """Inputs that move a run from state to state."""
+    """Inputs of the state machine of a run."""
 
     def dispatch(self) -> None:
-        """Note that a backend server was chosen and is being asked."""
+        """Record that the run is being sent to a backend server."""
 
     def stream(self) -> None:
-        """Tokens are arriving, or are about to."""
+        """Record that a stream was opened or has delivered tokens."""
 
     def suspect(self) -> None:
-        """Note that the stream has been silent for too long, or has broken."""
+        """Record that the stream was lost or has exceeded its silence timeout."""
 
     def continue_elsewhere(self) -> None:
-        """Give the engine up and ask another one to go on."""
+        """Record that another engine is asked to continue the run."""
 
     def complete(self) -> None:
-        """Note that the last token has arrived."""
+        """Record that the last token has arrived."""
 
     def fail(self) -> None:
-        """End the run without its last token."""
+        """Record that the run has ended without its last token."""
 
     def state(self) -> RunState:
-        """Return the present state."""
+        """Return the current state."""
 
 
 class StateObserver:
-    """Receives each change of state.
+    """Observes state changes.
 
     Parameters
     ----------
     observe : callable
-        Called with the state that was entered.
+        Called with each state that is entered.
     """
 
     __slots__ = ("observe",)
@@ -61,42 +61,42 @@
         self.observe = observe
 
 
-def _build() -> Callable[[StateObserver], RunLifecycle]:
+def _build_machine() -> Callable[[StateObserver], RunLifecycle]:
     builder = TypeMachineBuilder(RunLifecycle, StateObserver)
     states = {state: builder.state(state.value) for state in RunState}
 
-    def connect(origin: RunState, trigger: Callable, target: RunState) -> None:
+    def add_transition(origin: RunState, trigger: Callable, target: RunState) -> None:
         transition = states[origin].upon(trigger).to(states[target])
 
         @transition
         def enter(lifecycle: RunLifecycle, observer: StateObserver) -> None:
             observer.observe(target)
 
-    def report(state: RunState) -> None:
+    def add_state_query(state: RunState) -> None:
         @states[state].upon(RunLifecycle.state).loop()
-        def tell(lifecycle: RunLifecycle, observer: StateObserver) -> RunState:
+        def return_state(lifecycle: RunLifecycle, observer: StateObserver) -> RunState:
             return state
 
     waiting, dispatching = RunState.WAITING, RunState.DISPATCHING
     streaming, suspected = RunState.STREAMING, RunState.SUSPECTED
     continuing = RunState.CONTINUING
-    # A probe that finds the run alive brings it back to streaming; it may still be
-    # started again or continued elsewhere when no token follows.
+    # A successful probe returns a suspected run to streaming. If no token follows,
+    # the run may still be restarted or continued elsewhere.
     for origin in (waiting, dispatching, streaming, suspected):
-        connect(origin, RunLifecycle.dispatch, dispatching)
+        add_transition(origin, RunLifecycle.dispatch, dispatching)
     for origin in (dispatching, streaming, suspected, continuing):
-        connect(origin, RunLifecycle.stream, streaming)
+        add_transition(origin, RunLifecycle.stream, streaming)
     for origin in (dispatching, streaming, suspected, continuing):
-        connect(origin, RunLifecycle.suspect, suspected)
+        add_transition(origin, RunLifecycle.suspect, suspected)
     for origin in (waiting, streaming, suspected, continuing):
-        connect(origin, RunLifecycle.continue_elsewhere, continuing)
+        add_transition(origin, RunLifecycle.continue_elsewhere, continuing)
     for origin in (streaming, suspected, continuing):
-        connect(origin, RunLifecycle.complete, RunState.COMPLETED)
+        add_transition(origin, RunLifecycle.complete, RunState.COMPLETED)
     for origin in (waiting, dispatching, streaming, suspected, continuing):
-        connect(origin, RunLifecycle.fail, RunState.FAILED)
+        add_transition(origin, RunLifecycle.fail, RunState.FAILED)
     for state in RunState:
-        report(state)
+        add_state_query(state)
     return builder.build()
 
 
-start_lifecycle = _build()
+start_lifecycle = _build_machine()
--- a/packages/node/src/ebonyhaven_node/_runs.py
+++ b/packages/node/src/ebonyhaven_node/_runs.py
@@ -1,4 +1,4 @@
-"""Runs that this instance relays: their output so far, and who listens."""
+"""Runs that this instance relays, with their output and their connections."""
 
 from __future__ import annotations
 
@@ -20,37 +20,38 @@
 
     @abc.abstractmethod
     def handle_output(self) -> None:
-        """Take new tokens of the run, or its end."""
+        """Handle an acceptance, new tokens or the end of the run."""
 
 
 @attrs.define(slots=True, kw_only=True, eq=False)
 class Run:
-    """One generation, from its acceptance to some time after its end.
+    """A run that this instance relays or has relayed recently.
 
     Parameters
     ----------
     request : GenerationRequest
-        The request that it answers.
+        Request that started the run.
     generation : str
         Identity of the generation.
     texts : list of str
-        Every token so far, from offset 0.
+        Texts of all tokens so far, from offset 0.
     segments : list of (int, str)
-        Offset of the first token of each backend server, and its name.
+        Consecutive sections of the output by backend server: offset of the first
+        token, and name of the server that generated it.
     accepted_by : str
-        Backend server that has the run while no token has come yet.
+        Backend server that accepted the run last before its first token.
     finish_reason : str or None
-        Set once the generation is complete.
+        Set when the run completes.
     outcome : Outcome or None
-        Set once the run has ended without completing.
+        Set when the run fails.
     sinks : set of Sink
         Connections that the run is relayed to.
     abandoned : bool
-        Whether it was stopped because its last caller had gone.
+        Whether the run was stopped because its last caller had disconnected.
     ended_at : float or None
         Monotonic time of the end, seconds.
     on_detached : callable
-        Called when the last sink has gone before the end.
+        Called when the last sink is removed before the end of the run.
     on_attached : callable
         Called when a sink is added.
     """
@@ -75,11 +76,11 @@
 
     @property
     def server(self) -> str:
-        """Name of the backend server that made the last token."""
+        """Name of the backend server that generated the last token, or empty."""
         return self.segments[-1][1] if self.segments else ""
 
-    def announce(self, server: str) -> None:
-        """Tell the callers which backend server has accepted the run.
+    def record_acceptance(self, server: str) -> None:
+        """Record the backend server that has accepted the run; notify the sinks.
 
         Parameters
         ----------
@@ -89,14 +90,14 @@
         self._notify()
 
     def append(self, texts: list[str], *, server: str) -> None:
-        """Add tokens and pass them on.
+        """Append tokens and notify the sinks.
 
         Parameters
         ----------
         texts : list of str
-            Consecutive tokens that follow those held.
+            Texts of the tokens that follow those in `texts`.
         server : str
-            Backend server that made them.
+            Backend server that generated them.
         """
         if server != self.server:
             self.segments.append((len(self.texts), server))
@@ -104,31 +105,31 @@
         self._notify()
 
     def complete(self, finish_reason: str) -> None:
-        """End the run after its last token.
+        """End the run after its last token and notify the sinks.
 
         Parameters
         ----------
         finish_reason : str
-            Why the engine ended.
+            Finish reason that the engine reported.
         """
         self.finish_reason = finish_reason
         self.ended_at = time.monotonic()
         self._notify()
 
     def fail(self, outcome: Outcome) -> None:
-        """End the run without completion.
+        """End the run as failed and notify the sinks.
 
         Parameters
         ----------
         outcome : Outcome
-            What its callers are told.
+            Outcome that is reported to the callers.
         """
         self.outcome = outcome
         self.ended_at = time.monotonic()
         self._notify()
 
     def contains_position(self, position: EventId) -> bool:
-        """Tell whether a caller's position lies in this very generation.
+        """Return whether the run can be relayed from a caller's position on.
 
         Parameters
         ----------
@@ -137,24 +138,24 @@
         Returns
         -------
         bool
-            False for another generation, and for a token that was made by a
-            backend server which this run did not take it from. A caller that
-            holds no token yet can be given any generation.
+            False if the position belongs to another generation, or if this run
+            has the token from another backend server. True for any generation if
+            the caller has not received a token yet.
         """
         if position.offset == OFFSET_BEFORE_FIRST_TOKEN:
             return True
         if position.generation != self.generation:
             return False
-        made_by = [name for first, name in self.segments if first <= position.offset]
-        return bool(made_by) and made_by[-1] == position.server
+        servers = [name for first, name in self.segments if first <= position.offset]
+        return bool(servers) and servers[-1] == position.server
 
     def attach(self, sink: Sink) -> None:
-        """Relay the run to one more connection."""
+        """Start relaying the run to a connection."""
         self.sinks.add(sink)
         self.on_attached()
 
     def detach(self, sink: Sink) -> None:
-        """Stop relaying to a connection that has gone."""
+        """Stop relaying the run to a connection."""
         self.sinks.discard(sink)
         if not self.sinks and not self.ended:
             self.on_detached()
@@ -165,7 +166,7 @@
 
 
 class RunRegistry:
-    """Runs by their identity, so that a resubmission finds its run."""
+    """Runs by their id, so that a resubmitted request is attached to its run."""
 
     __slots__ = ("_runs",)
 
@@ -173,17 +174,17 @@
         self._runs: dict[str, Run] = {}
 
     def find(self, run_id: str) -> Run | None:
-        """Return the run of an identity, or None."""
+        """Return the run with an id, or None."""
         return self._runs.get(run_id)
 
     def add(self, run: Run) -> None:
-        """Keep a run; it takes the place of an older one."""
+        """Add a run and replace an earlier run with the same id."""
         self._runs.pop(run.request.run_id, None)
         self._runs[run.request.run_id] = run
         self._drop_expired()
 
     def discard(self, run: Run) -> None:
-        """Forget a run, unless another one has taken its place."""
+        """Remove a run unless it has been replaced."""
         if self._runs.get(run.request.run_id) is run:
             del self._runs[run.request.run_id]
 
--- a/packages/node/src/ebonyhaven_node/_silence.py
+++ b/packages/node/src/ebonyhaven_node/_silence.py
@@ -1,4 +1,4 @@
-"""Watching one run for silence, and timing what is done about it."""
+"""Detects silence on the stream of a run and measures the recovery."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from ebonyhaven_node._metrics import RunMetrics, observe
 from ebonyhaven_node._runs import Run
 
-PREFILL_TOKENS_PER_S = 4000.0
+EXPECTED_PREFILL_TOKENS_PER_S = 4000.0
+# Consecutive probes without a token up to which a responding engine is waited for.
 MAX_IDLE_PROBES = 2
-MAX_IDLE_PROBES_QUEUED = 5
+MAX_IDLE_PROBES_BEFORE_FIRST_TOKEN = 5
 
 
 class SilenceDetector:
-    """Arrival times of one run's tokens.
+    """Detects silence on the stream of a run from the arrival times of its tokens.
 
     Parameters
     ----------
@@ -27,7 +28,7 @@
     metrics : RunMetrics
     reactor : IReactorTime
     on_silence : callable
-        Called once after `arm` when the run is silent for too long.
+        Called when the silence timeout expires, once per call of `arm`.
 
     Attributes
     ----------
@@ -37,7 +38,7 @@
 
     __slots__ = (
         "_awaits_prefill",
-        "_idle_probes",
+        "_idle_probe_count",
         "_last_token_at",
         "_metrics",
         "_on_silence",
@@ -65,17 +66,17 @@
         self._reactor = reactor
         self._on_silence = on_silence
         self._pace = StreamPace()
-        self._idle_probes = 0
+        self._idle_probe_count = 0
         self._awaits_prefill = True
         self._suspected_since: float | None = None
         self._timer = None
         self.accepted_at = time.monotonic()
         self._last_token_at = self.accepted_at
 
-    def plan(self) -> ResumePlan:
-        """Return what is to be done about silence at present."""
+    def compute_resume_plan(self) -> ResumePlan:
+        """Return the timeouts of the stream in its current state."""
         awaits_first = self._awaits_prefill or not self._run.texts
-        prefill_s = self._expect_prefill_s()
+        prefill_s = self._estimate_prefill_s()
         return plan_resume(
             resume_target_s=self._resume_target_s,
             pace=self._pace,
@@ -84,27 +85,30 @@
         )
 
     def arm(self) -> None:
-        """Start to watch; the timer is checked lazily, not moved with each token."""
+        """Start the silence timer.
+
+        Tokens do not reset the timer; arrival times are compared when it expires.
+        """
         self.disarm()
         if self._run.ended:
             return
-        delay_s = self.plan().suspect_after_s * 2**self._idle_probes
+        delay_s = self.compute_resume_plan().suspect_after_s * 2**self._idle_probe_count
         armed_at = time.monotonic()
         self._timer = self._reactor.callLater(delay_s, self._check, armed_at, delay_s)
 
     def disarm(self) -> None:
-        """Stop to watch."""
+        """Stop the silence timer."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
 
     def record_arrival(self) -> bool:
-        """Take note of tokens that are about to be appended to the run.
+        """Record tokens; call this before they are appended to the run.
 
         Returns
         -------
         bool
-            Whether this ends a suspicion.
+            Whether the run was suspected.
         """
         now = time.monotonic()
         if not self._run.texts:
@@ -116,50 +120,53 @@
             observe(self._metrics.resume, now - self._suspected_since)
             self._suspected_since = None
         self._awaits_prefill = False
-        self._idle_probes = 0
+        self._idle_probe_count = 0
         self._last_token_at = now
         return resumed
 
     def record_suspicion(self, *, since: float | None = None) -> None:
-        """Take note that the run is suspected.
+        """Record that the run is suspected.
 
         Parameters
         ----------
         since : float, optional
-            Monotonic time of the loss, seconds; the last token's by default.
+            Monotonic time of the loss, seconds; by default, the time of the last
+            token.
         """
         if self._suspected_since is None:
             self._suspected_since = self._last_token_at if since is None else since
 
     def record_dispatch(self) -> None:
-        """Take note that a prefill begins."""
+        """Record that an attempt was sent, so that a prefill precedes its tokens."""
         self._awaits_prefill = True
 
     def record_probe(self) -> None:
-        """Take note of a probe; the next silence may last twice as long."""
-        self._idle_probes += 1
+        """Record a probe, which doubles the next silence timeout."""
+        self._idle_probe_count += 1
 
     def allows_waiting(self) -> bool:
-        """Tell whether an engine that answers a probe may be waited for.
+        """Return whether to wait for an engine that has answered a probe.
 
-        Before the first token it is waited for longer, since starting again
-        elsewhere would add to the load that makes it slow.
+        The limit is higher before the first token: restarting a queued run
+        elsewhere would add to the load that delays it.
 
         Returns
         -------
         bool
         """
-        limit = MAX_IDLE_PROBES if self._run.texts else MAX_IDLE_PROBES_QUEUED
-        return self._idle_probes <= limit
+        limit = (
+            MAX_IDLE_PROBES if self._run.texts else MAX_IDLE_PROBES_BEFORE_FIRST_TOKEN
+        )
+        return self._idle_probe_count <= limit
 
     def _record_gap(self, gap_s: float) -> None:
         observe(self._metrics.gap, gap_s)
         if self._suspected_since is None:
             self._pace.record_gap(gap_s)
 
-    def _expect_prefill_s(self) -> float:
+    def _estimate_prefill_s(self) -> float:
         tokens = self._run.request.prompt_tokens + len(self._run.texts)
-        return tokens / PREFILL_TOKENS_PER_S
+        return tokens / EXPECTED_PREFILL_TOKENS_PER_S
 
     def _check(self, armed_at: float, delay_s: float) -> None:
         self._timer = None
@@ -168,7 +175,7 @@
         if remaining_s <= 0:
             self._on_silence()
             return
-        next_delay_s = self.plan().suspect_after_s
+        next_delay_s = self.compute_resume_plan().suspect_after_s
         self._timer = self._reactor.callLater(
             remaining_s, self._check, armed_at, next_delay_s
         )
--- a/packages/node/src/ebonyhaven_node/_stream_opener.py
+++ b/packages/node/src/ebonyhaven_node/_stream_opener.py
@@ -1,4 +1,4 @@
-"""Opening engine streams for one run: starting, claiming, attaching."""
+"""Opens engine streams for a run by starting, continuing or attaching to it."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 from ebonyhaven_node._silence import SilenceDetector
 from ebonyhaven_node.exceptions import EngineLost, EngineRefusal
 
-ACCEPT_TIMEOUT_SHARE = 0.25
+ACCEPT_TIMEOUT_TARGET_SHARE = 0.25  # share of the resume target
 MIN_ACCEPT_TIMEOUT_S = 0.25
-RETRY_DELAY_S = 0.05
+START_RETRY_DELAY_S = 0.05
 ATTACH_RETRY_DELAY_S = 0.1
-SUSPECT_WAIT_S = 5.0
+MAX_PROBE_DURATION_S = 5.0
 
 
 @attrs.define(slots=True, kw_only=True, eq=False)
 class StreamOpener:
-    """Opens the engine streams of one run.
+    """Opens the engine streams of a run.
 
     Parameters
     ----------
@@ -45,15 +45,15 @@
     targets : RunTargets
     dependencies : DriverDependencies
     candidates : CandidateSet
-        Receives the streams that were opened.
+        Set that opened streams are added to.
     claim : RunClaim
     guard : ContentGuard
-    silence : SilenceDetector
+    silence_detector : SilenceDetector
     lifecycle : RunLifecycle
     receiver : StreamReceiver
         Receives the tokens of the streams.
     may_have_run : bool
-        Whether an attempt has reached, or may have reached, an engine.
+        Whether an attempt has, or may have, reached an engine.
     """
 
     _run: Run
@@ -62,18 +62,18 @@
     _candidates: CandidateSet
     _claim: RunClaim
     _guard: ContentGuard
-    _silence: SilenceDetector
+    _silence_detector: SilenceDetector
     _lifecycle: RunLifecycle
     _receiver: StreamReceiver
     may_have_run: bool = attrs.field(default=False, init=False)
     _attempt: int = attrs.field(default=0, init=False)
-    _acquiring: Deferred[Slot] | None = attrs.field(default=None, init=False)
+    _pending_acquisition: Deferred[Slot] | None = attrs.field(default=None, init=False)
 
     def cancel_acquisition(self) -> bool:
-        """End the wait for room; tell whether there was one."""
-        if self._acquiring is None:
+        """Cancel a pending slot request and return whether there was one."""
+        if self._pending_acquisition is None:
             return False
-        self._acquiring.cancel()
+        self._pending_acquisition.cancel()
         return True
 
     async def start(
@@ -86,9 +86,10 @@
         deadline : float
             Monotonic time after which to give up, seconds.
         excluded : set of str, optional
-            Backend servers that must not be chosen; failed ones are added.
+            Backend servers that must not be chosen. Servers that fail are added; the
+            set is cleared once it covers all servers.
         resume : bool
-            Whether a run that was lost starts again.
+            Whether this restarts a lost run.
 
         Raises
         ------
@@ -99,7 +100,7 @@
         while True:
             if self._claim.is_required:
                 await self._claim.wait_available(deadline)
-            slot = await self._acquire_start(
+            slot = await self._acquire_start_slot(
                 excluded, deadline, resume=resume, retry=retry
             )
             retry = True
@@ -118,10 +119,10 @@
                 self._dependencies.servers.list_in_pools(self._targets.pools)
             ):
                 excluded.clear()
-                await task.deferLater(self._dependencies.reactor, RETRY_DELAY_S)
+                await task.deferLater(self._dependencies.reactor, START_RETRY_DELAY_S)
 
     async def _start_on(self, slot: Slot, deadline: float) -> bool:
-        """Try one server; tell whether the run is under way."""
+        """Try to start the run on a server; return False if another must be tried."""
         if self._claim.is_required and not await self._claim_start(slot, deadline):
             return True
         try:
@@ -134,13 +135,16 @@
         except EngineLost:
             slot.release()
             if self._claim.is_required:
-                await self.chase(slot.server)
+                await self.attach_with_retries(slot.server)
                 return True
-            return await self.settle_lost_attempt(slot.server)
+            return await self.resolve_lost_attempt(slot.server)
         return True
 
-    async def settle_lost_attempt(self, server: BackendServer) -> bool:
-        """Find out about an attempt that an engine did not answer.
+    async def resolve_lost_attempt(self, server: BackendServer) -> bool:
+        """Attach to an attempt that an engine did not respond to.
+
+        If the engine still does not respond, the attempt is cancelled in the
+        background.
 
         Parameters
         ----------
@@ -149,10 +153,10 @@
         Returns
         -------
         bool
-            Whether the run was found there.
+            Whether the attempt could be attached to.
         """
         try:
-            await self.attach_again(server, timeout_s=self.accept_s)
+            await self.probe(server, timeout_s=self.accept_timeout_s)
         except EngineRefusal as refusal:
             if refusal.reason == CONNECTION_REFUSED:
                 self._guard.record_death(server, progress_tokens=0)
@@ -165,7 +169,10 @@
         return True
 
     async def _claim_start(self, slot: Slot, deadline: float) -> bool:
-        """Claim the fresh start; attach where another instance has claimed it."""
+        """Claim the start of the run.
+
+        If another instance has claimed it, attach to its run and return False.
+        """
         try:
             dispatch = await self._claim.insert(
                 generation=self._run.generation,
@@ -178,10 +185,12 @@
         if not dispatch:
             slot.release()
             self._run.generation = self._claim.generation
-            await self.chase(self._dependencies.servers.find(self._claim.server))
+            await self.attach_with_retries(
+                self._dependencies.servers.find(self._claim.server)
+            )
         return dispatch
 
-    async def _acquire_start(
+    async def _acquire_start_slot(
         self, excluded: set[str], deadline: float, *, resume: bool, retry: bool
     ) -> Slot:
         slot_request = SlotRequest(
@@ -191,36 +200,38 @@
             excluded=frozenset(excluded),
             resume=resume,
             retry=retry,
-            arrival=self._silence.accepted_at,
+            arrival=self._silence_detector.accepted_at,
         )
-        self._acquiring = ensureDeferred(
+        self._pending_acquisition = ensureDeferred(
             self._dependencies.scheduling.acquire(slot_request)
         )
         try:
-            return await self._acquiring
+            return await self._pending_acquisition
         except CancelledError as error:
             reason = "the caller has gone"
             raise make_failure(OutcomeTag.NOT_RUN, "queue", reason) from error
         finally:
-            self._acquiring = None
+            self._pending_acquisition = None
 
-    async def chase(self, server: BackendServer | None) -> None:
-        """Attach to a run that must not be started again, or say ``unknown``.
+    async def attach_with_retries(self, server: BackendServer | None) -> None:
+        """Attach to a run that must not be restarted, with retries.
 
         Parameters
         ----------
         server : BackendServer or None
-            Where the run is thought to be.
+            Backend server that presumably has the run; None if it is not known.
 
         Raises
         ------
         RequestFailure
+            With ``unknown``, if the run cannot be attached to within the first-token
+            target; at once if the engine refuses connections.
         """
         deadline = time.monotonic() + self._targets.first_token_s
         retry_after_s: float | None = RETRY_AFTER_S
         while server is not None:
             try:
-                await self.attach(server, timeout_s=self.accept_s)
+                await self.attach(server, timeout_s=self.accept_timeout_s)
                 return
             except EngineRefusal as refusal:
                 if refusal.reason == CONNECTION_REFUSED:
@@ -240,13 +251,13 @@
         )
 
     async def attach(self, server: BackendServer, *, timeout_s: float) -> None:
-        """Attach at the next token that is due.
+        """Attach to the run at the next token.
 
         Parameters
         ----------
         server : BackendServer
         timeout_s : float
-            Time that the engine has to answer, seconds.
+            Timeout for the response headers, seconds.
 
         Raises
         ------
@@ -268,32 +279,36 @@
             raise
         self._add(Candidate(stream=stream, slot=slot, attempt=self._attempt))
 
-    async def attach_again(self, server: BackendServer, *, timeout_s: float) -> None:
-        """Attach to a server that was lost, to learn whether it is dead.
+    async def probe(self, server: BackendServer, *, timeout_s: float) -> None:
+        """Attach again after a loss, to determine whether the engine is dead.
 
-        A process that dies may still take a connection and break it; it is asked
-        again then, and refuses. A content under suspicion is not sent on while the
-        fate of its last engine is open: that engine is asked for a while.
+        A terminating process may accept a connection and close it, so a closed
+        connection is retried once; a dead engine then refuses it. Content that is
+        suspected of crashing engines is not sent to another engine before the
+        state of the last one is known, so unanswered probes are retried for up to
+        `MAX_PROBE_DURATION_S`.
 
         Parameters
         ----------
         server : BackendServer
         timeout_s : float
-            Time that the engine has to answer, seconds.
+            Timeout for the response headers, seconds.
 
         Raises
         ------
         EngineRefusal, EngineLost
         """
-        deadline = time.monotonic() + SUSPECT_WAIT_S
+        deadline = time.monotonic() + MAX_PROBE_DURATION_S
         was_closed = False
         while True:
             try:
                 await self.attach(server, timeout_s=timeout_s)
                 return
             except EngineLost as lost:
-                asks_again = not was_closed if lost.closed else self._guard.is_suspect()
-                if not asks_again or time.monotonic() > deadline:
+                should_retry = (
+                    not was_closed if lost.closed else self._guard.is_suspect()
+                )
+                if not should_retry or time.monotonic() > deadline:
                     raise
                 was_closed = was_closed or lost.closed
             await task.deferLater(self._dependencies.reactor, ATTACH_RETRY_DELAY_S)
@@ -301,13 +316,13 @@
     async def open_stream(
         self, slot: Slot, *, continue_from: list[str] | None = None
     ) -> Candidate:
-        """Start the run on a server, or continue it there.
+        """Start or continue the run on a server.
 
         Parameters
         ----------
         slot : Slot
         continue_from : list of str, optional
-            Tokens to continue from.
+            Texts of the tokens to continue from; starts the run if omitted.
 
         Returns
         -------
@@ -318,11 +333,14 @@
         EngineRefusal, EngineLost
         """
         self._attempt += 1
-        self._silence.record_dispatch()
+        self._silence_detector.record_dispatch()
         body = self._make_body(slot, continue_from)
         try:
             stream = await self._dependencies.engines.start(
-                slot.server, body, receiver=self._receiver, timeout_s=self.accept_s
+                slot.server,
+                body,
+                receiver=self._receiver,
+                timeout_s=self.accept_timeout_s,
             )
         except EngineLost:
             self.may_have_run = True
@@ -333,7 +351,7 @@
         return candidate
 
     def cancel_last_attempt(self, server: BackendServer) -> None:
-        """Cancel an attempt that may have arrived.
+        """Cancel the last attempt, which the server may have received.
 
         Parameters
         ----------
@@ -367,6 +385,8 @@
         self._lifecycle.stream()
 
     @property
-    def accept_s(self) -> float:
-        """Time that an engine has to accept a run, seconds."""
-        return max(MIN_ACCEPT_TIMEOUT_S, ACCEPT_TIMEOUT_SHARE * self._targets.resume_s)
+    def accept_timeout_s(self) -> float:
+        """Time within which an engine must accept a run, seconds."""
+        return max(
+            MIN_ACCEPT_TIMEOUT_S, ACCEPT_TIMEOUT_TARGET_SHARE * self._targets.resume_s
+        )
--- a/tests/node/test_engines.py
+++ b/tests/node/test_engines.py
@@ -13,5 +13,5 @@
     (error.ConnectError(errno.EHOSTUNREACH, "no route"), False),
     (error.TimeoutError(), False),
 )
-def test_only_an_answer_of_the_other_side_is_a_refusal(problem, refused):
-    assert _is_refused(problem) is refused
+def test_only_refused_or_reset_connections_are_refusals(exc, refused):
+    assert _is_refused(exc) is refused
--- a/tests/node/test_runs.py
+++ b/tests/node/test_runs.py
@@ -27,7 +27,7 @@
     return run
 
 
-def test_position_counts_only_where_the_token_came_from_the_same_server():
+def test_position_must_name_the_server_that_generated_its_token():
     run = make_run("abc")
     run.append(["d"], server="s2")
     assert run.contains_position(EventId(2, GENERATION, "s1"))
@@ -36,11 +36,11 @@
     assert not run.contains_position(EventId(1, GENERATION, "s2"))
 
 
-def test_position_of_another_generation_is_not_held():
+def test_position_of_another_generation_is_not_contained():
     assert not make_run("abc").contains_position(EventId(1, OTHER, "s1"))
 
 
-def test_caller_without_a_token_joins_a_run_that_was_started_again():
+def test_caller_without_a_token_can_attach_to_any_generation():
     assert make_run().contains_position(EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9"))
     assert make_run("abc").contains_position(
         EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9")
