--- a/tests/deploy/test_build.py
+++ b/tests/deploy/test_build.py
@@ -1,4 +1,4 @@
-"""The build and the program that the deploy file names, in a clean checkout."""
+"""Tests of the deployment file: its build and its program in a clean checkout."""
 
 from __future__ import annotations
 
@@ -11,58 +11,58 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 BUILD_TIMEOUT_S = 300.0
-COPIED = ("packages", "platform", "deploy", "constraints.txt")
+COPIED_PATHS = ("packages", "platform", "deploy", "constraints.txt")
 
 
-def copy_checkout() -> pathlib.Path:
-    folder = pathlib.Path(tempfile.mkdtemp(prefix="ebonyhaven-build-"))
-    for name in COPIED:
+def copy_deployed_files() -> pathlib.Path:
+    directory = pathlib.Path(tempfile.mkdtemp(prefix="ebonyhaven-build-"))
+    for name in COPIED_PATHS:
         source = ROOT / name
         if source.is_dir():
             ignored = shutil.ignore_patterns("__pycache__", "*.egg-info", "build")
-            shutil.copytree(source, folder / name, ignore=ignored)
+            shutil.copytree(source, directory / name, ignore=ignored)
         else:
-            shutil.copy(source, folder / name)
-    return folder
+            shutil.copy(source, directory / name)
+    return directory
 
 
-def test_build_makes_a_program_that_refuses_bad_settings_with_one_line():
-    folder = copy_checkout()
-    plan = tomllib.loads((folder / "deploy" / "system.toml").read_text())
-    built = subprocess.run(
+def test_built_program_reports_invalid_settings_on_one_line():
+    directory = copy_deployed_files()
+    plan = tomllib.loads((directory / "deploy" / "system.toml").read_text())
+    build = subprocess.run(
         ["sh", "-c", plan["build"]],
-        cwd=folder,
+        cwd=directory,
         capture_output=True,
         text=True,
         timeout=BUILD_TIMEOUT_S,
         check=False,
     )
-    assert built.returncode == 0, built.stderr
-    assert {path.name for path in folder.iterdir()} == {*COPIED, "target"}
-    settings = folder / "settings.json"
+    assert build.returncode == 0, build.stderr
+    assert {path.name for path in directory.iterdir()} == {*COPIED_PATHS, "target"}
+    settings = directory / "settings.json"
     settings.write_text('{"nodeName": "n1"}')
     environment = {
         "PATH": os.environ["PATH"],
-        "PYTHONPATH": str(folder / "target" / "deps"),
+        "PYTHONPATH": str(directory / "target" / "deps"),
         "EBONYHAVEN_NODE_FILE": str(settings),
     }
     (role,) = plan["roles"].values()
-    done = subprocess.run(
+    completed = subprocess.run(
         role["run"].split(),
-        cwd=folder,
+        cwd=directory,
         env=environment,
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    shutil.rmtree(folder)
-    assert done.returncode == 2
-    assert done.stderr == "settings: listen: must be a table\n"
-    assert done.stdout == ""
+    shutil.rmtree(directory)
+    assert completed.returncode == 2
+    assert completed.stderr == "settings: listen: must be an object\n"
+    assert completed.stdout == ""
 
 
-def test_roles_serve_what_callers_need():
+def test_role_serves_the_edge_and_the_registry():
     plan = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     (role,) = plan["roles"].values()
     assert {"edge", "registry"} <= set(role["serves"])
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -5,7 +5,7 @@
 import random
 
 import h11
-from ebonyhaven_adapter._headers import PlatformBackends, PlatformCallers
+from ebonyhaven_adapter._headers import PlatformBackendDialect, PlatformCallerDialect
 from ebonyhaven_decisions.forwarding import (
     BackendEntry,
     BackendState,
@@ -281,8 +281,8 @@
         self.gateway = Gateway(
             settings=make_settings("dc-a"),
             reactor=self.reactor,
-            caller_dialect=PlatformCallers(),
-            backend_dialect=PlatformBackends(),
+            caller_dialect=PlatformCallerDialect(),
+            backend_dialect=PlatformBackendDialect(),
             build_source=lambda state, pool: self.source,
             build_inspector=lambda pool: self.inspector,
             build_copier=lambda pool: self.copier,
--- a/tests/platform_adapter/stand_ins.py
+++ b/tests/platform_adapter/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform: its store and its backend servers, on loopback."""
+"""Stand-ins for the store and backend servers of the platform, on loopback."""
 
 from __future__ import annotations
 
@@ -24,20 +24,23 @@
 KEY = "k1"
 
 
-def on_reactor(function, *arguments):
-    """Call a function on the reactor's thread and return its result."""
+def call_in_reactor(function, *arguments):
+    """Call a function in the reactor thread and return its result."""
 
-    async def nothing():
+    async def do_nothing():
         return None
 
-    run_in_reactor(nothing)  # starts the reactor
+    run_in_reactor(do_nothing)  # starts the reactor
     return blockingCallFromThread(reactor, function, *arguments)
 
 
-class Store(resource.Resource):
-    """Rows with versions, their feed, and outages on demand."""
+class StoreStandIn(resource.Resource):
+    """In-memory store with versioned rows and a change feed.
 
-    isLeaf = True  # noqa: N815 the name Twisted reads
+    It responds with status 503 while ``is_down`` is set.
+    """
+
+    isLeaf = True  # noqa: N815 defined by Twisted
 
     def __init__(self):
         super().__init__()
@@ -80,7 +83,7 @@
         table = request.args[b"tableName"][0].decode()
         after = int(request.args[b"after"][0])
         wait_s = int(request.args[b"waitMs"][0]) / 1000
-        if any(each[0] == table and each[3] > after for each in self.changes):
+        if any(change[0] == table and change[3] > after for change in self.changes):
             return self._encode(self._list_changes(table, after))
         entry = (request, table, after)
         self._waiting.append(entry)
@@ -119,17 +122,27 @@
         return json.dumps(body).encode()
 
 
-class BackendServer(resource.Resource):
-    """A server that answers short requests and holds streams for the test."""
+class BackendServerStandIn(resource.Resource):
+    """Backend server that completes short requests and leaves streams to the test.
+
+    Attributes
+    ----------
+    seen : list of dict
+        Headers of the requests received.
+    open : list of Request
+        Open streams.
+    drops_next_request : bool
+        Whether the connection of the next request is aborted without a response.
+    """
 
-    isLeaf = True  # noqa: N815 the name Twisted reads
+    isLeaf = True  # noqa: N815 defined by Twisted
 
     def __init__(self, server_id):
         super().__init__()
         self.server_id = server_id
         self.seen: list[dict[str, str]] = []
         self.open: list[server.Request] = []
-        self.loses_next = False
+        self.drops_next_request = False
 
     def render(self, request):
         headers = {
@@ -140,8 +153,8 @@
         request.setHeader("X-Attempt-Id", headers.get("x-attempt-id", ""))
         request.setHeader("X-Server-Stamp", f"stamp-{self.server_id}")
         request.notifyFinish().addErrback(lambda _: self._forget(request))
-        if self.loses_next:
-            self.loses_next = False
+        if self.drops_next_request:
+            self.drops_next_request = False
             reactor.callLater(0, request.transport.abortConnection)
             return server.NOT_DONE_YET
         if "x-token-count" not in headers:
@@ -157,7 +170,7 @@
     def finish(self):
         self.open.pop().finish()
 
-    def cut(self):
+    def abort_stream(self):
         self.open.pop().transport.abortConnection()
 
     def _forget(self, request):
@@ -166,27 +179,29 @@
 
 
 @attrs.define
-class Listening:
-    """A stand-in that listens."""
+class ListeningStandIn:
+    """A stand-in with its listening port."""
 
     stand_in: resource.Resource
     address: str
     port: object
 
     def stop(self):
-        on_reactor(self.port.stopListening)
+        call_in_reactor(self.port.stopListening)
 
 
-def listen(stand_in) -> Listening:
+def listen(stand_in) -> ListeningStandIn:
     address = allocate_address()
     host, _, port = address.rpartition(":")
     site = server.Site(stand_in)
-    opened = on_reactor(lambda: reactor.listenTCP(int(port), site, interface=host))
-    return Listening(stand_in, address, opened)
+    listening_port = call_in_reactor(
+        lambda: reactor.listenTCP(int(port), site, interface=host)
+    )
+    return ListeningStandIn(stand_in, address, listening_port)
 
 
 def make_configuration(version=1, routes=("once", "stream")):
-    known = {
+    available_routes = {
         "once": {
             "name": "once",
             "host": HOST,
@@ -213,7 +228,7 @@
     engine = {"slots": 8, "kvCapacityTokens": 88000, "backups": True}
     return {
         "version": version,
-        "routes": [known[name] for name in routes],
+        "routes": [available_routes[name] for name in routes],
         "services": [
             {"name": "plain", "maxConnections": 100},
             {"name": "engines", "maxConnections": 100, "engine": engine},
@@ -238,10 +253,10 @@
 
 
 class NodeProcess:
-    """The real program with its settings and its log."""
+    """Process that runs the program with its settings file and log file."""
 
     def __init__(self, store_address, **changes):
-        self.folder = pathlib.Path(tempfile.mkdtemp(prefix="ebonyhaven-"))
+        self.directory = pathlib.Path(tempfile.mkdtemp(prefix="ebonyhaven-"))
         self.addresses = {
             name: allocate_address()
             for name in ("frontend", "readiness", "controlPlane", "directory")
@@ -266,9 +281,9 @@
             "platform": {"address": store_address},
             **changes,
         }
-        self.settings_path = self.folder / "node.json"
+        self.settings_path = self.directory / "node.json"
         self.settings_path.write_text(json.dumps(settings))
-        self.log_path = self.folder / "n1.log"
+        self.log_path = self.directory / "n1.log"
         self._log = self.log_path.open("wb")
         self.process = subprocess.Popen(
             [sys.executable, "-m", "ebonyhaven_adapter"],
--- a/tests/platform_adapter/test_settings.py
+++ b/tests/platform_adapter/test_settings.py
@@ -35,7 +35,7 @@
 }
 
 
-def write(document) -> pathlib.Path:
+def write_settings(document) -> pathlib.Path:
     handle, name = tempfile.mkstemp(suffix=".json")
     os.close(handle)
     path = pathlib.Path(name)
@@ -44,32 +44,35 @@
 
 
 def test_settings_are_read_and_unknown_fields_ignored():
-    settings = read_settings(write(SETTINGS))
+    settings = read_settings(write_settings(SETTINGS))
     assert settings.instance == "n1"
     assert settings.metrics_address == "10.1.0.1:7340"
-    assert settings.repeat_slack == 150
+    assert settings.retry_budget_slack == 150
 
 
-def fail(document) -> SettingsError:
+def read_invalid_settings(document) -> SettingsError:
     try:
-        read_settings(write(document))
+        read_settings(write_settings(document))
     except SettingsError as error:
         return error
-    raise AssertionError("the settings were accepted")
+    raise AssertionError("invalid settings were accepted")
 
 
 def test_errors_name_the_field():
-    assert fail({**SETTINGS, "nodeName": 3}).field == "nodeName"
-    assert fail({**SETTINGS, "platform": {"address": "x"}}).field == "address"
-    assert fail({**SETTINGS, "listen": None}).field == "listen"
+    assert read_invalid_settings({**SETTINGS, "nodeName": 3}).field == "nodeName"
+    assert (
+        read_invalid_settings({**SETTINGS, "platform": {"address": "x"}}).field
+        == "address"
+    )
+    assert read_invalid_settings({**SETTINGS, "listen": None}).field == "listen"
     bounds = {**SETTINGS["bounds"], "graceS": "soon"}
-    assert fail({**SETTINGS, "bounds": bounds}).field == "graceS"
-    assert "JSON" in fail("{").reason
+    assert read_invalid_settings({**SETTINGS, "bounds": bounds}).field == "graceS"
+    assert "JSON" in read_invalid_settings("{").reason
 
 
-def test_program_refuses_bad_settings_with_one_line():
-    path = write({**SETTINGS, "zone": None})
-    done = subprocess.run(
+def test_program_reports_invalid_settings_on_one_line():
+    path = write_settings({**SETTINGS, "zone": None})
+    completed = subprocess.run(
         [sys.executable, "-m", "ebonyhaven_adapter"],
         env={**os.environ, "EBONYHAVEN_NODE_FILE": str(path)},
         capture_output=True,
@@ -77,7 +80,7 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stderr.strip().splitlines() == [
-        "settings: zone: must be a text, got None"
+    assert completed.returncode == 2
+    assert completed.stderr.strip().splitlines() == [
+        "settings: zone: must be a non-empty string, got None"
     ]
--- a/tests/platform_adapter/test_source.py
+++ b/tests/platform_adapter/test_source.py
@@ -3,8 +3,8 @@
 import pathlib
 from collections import deque
 
-from ebonyhaven_adapter._source import PlatformSource
-from ebonyhaven_adapter._store import Row, Rows
+from ebonyhaven_adapter._source import PlatformStateSource
+from ebonyhaven_adapter._store import Row, RowBatch
 from ebonyhaven_adapter.exceptions import StoreError
 from ebonyhaven_node.forwarding import ForwardingState
 from twisted.internet.defer import Deferred
@@ -30,8 +30,8 @@
 }
 
 
-class FakeStore:
-    """Answers reads from a script; a call without an entry waits."""
+class ScriptedStoreClient:
+    """Returns prepared responses; a call without one waits for `push`."""
 
     def __init__(self):
         self.calls = []
@@ -64,38 +64,38 @@
             waiting.callback(answer)
 
 
-def rows(version, **contents):
-    made = (
+def make_rows(version, **contents):
+    batch = (
         Row(key.replace("_", "-"), content, version, content is None)
         for key, content in contents.items()
     )
-    return Rows(tuple(made), version, False)
+    return RowBatch(tuple(batch), version, False)
 
 
-def lose(status=None):
+def make_store_error(status=None):
     return StoreError(step="read", peer="store", reason="test", status=status)
 
 
-def build():
-    clock, store = Clock(), FakeStore()
+def build_source():
+    clock, store = Clock(), ScriptedStoreClient()
     state = ForwardingState(clock.seconds)
-    source = PlatformSource(client=store, state=state, reactor=clock)
-    for follower in (source._operator, source._servers):
+    source = PlatformStateSource(client=store, state=state, reactor=clock)
+    for follower in (source._configuration_follower, source._server_follower):
         follower._clock = clock.seconds
         follower.answered_at = clock.seconds()
     return clock, store, state, source
 
 
-def start_complete():
-    clock, store, state, source = build()
-    store.push("op", rows(10, config=CONFIGURATION))
-    store.push("servers", rows(12, s_1=SERVER))
+def start_with_complete_state():
+    clock, store, state, source = build_source()
+    store.push("op", make_rows(10, config=CONFIGURATION))
+    store.push("servers", make_rows(12, s_1=SERVER))
     source.start()
     return clock, store, state, source
 
 
 def test_state_is_complete_once_both_tables_were_read():
-    _, store, state, source = start_complete()
+    _, store, state, source = start_with_complete_state()
     assert state.is_complete
     assert state.configuration.workspaces["k1"].name == "studio-a"
     assert state.backends.find("s-1").entry.started_ms == 1000
@@ -103,29 +103,29 @@
     assert ("changes", "op", 10) in store.calls
 
 
-def test_changes_are_applied_and_the_feed_goes_on_behind_them():
-    clock, store, state, _ = start_complete()
-    store.push("servers", rows(15, s_1={**SERVER, "state": "draining"}))
+def test_changes_are_applied_and_polling_continues_from_them():
+    clock, store, state, _ = start_with_complete_state()
+    store.push("servers", make_rows(15, s_1={**SERVER, "state": "draining"}))
     assert not state.backends.find("s-1").is_usable(clock.seconds())
     clock.advance(0.3)
     assert store.calls[-1] == ("changes", "servers", 15)
-    store.push("servers", rows(16, s_1=None))
+    store.push("servers", make_rows(16, s_1=None))
     assert state.backends.find("s-1") is None
 
 
-def test_history_that_is_gone_leads_to_reading_the_table_at_once():
-    _, store, state, _ = start_complete()
-    store.push("servers", lose(status=410))
+def test_missing_history_triggers_an_immediate_table_read():
+    _, store, state, _ = start_with_complete_state()
+    store.push("servers", make_store_error(status=410))
     assert store.calls[-1] == ("table", "servers", None)
-    store.push("servers", rows(30, s_2={**SERVER, "address": "10.0.0.2:80"}))
+    store.push("servers", make_rows(30, s_2={**SERVER, "address": "10.0.0.2:80"}))
     assert state.backends.find("s-1") is None
     assert state.backends.find("s-2") is not None
 
 
-def test_lost_store_keeps_the_state_and_is_tried_again_with_pauses():
-    clock, store, state, source = start_complete()
+def test_store_failure_keeps_the_state_and_is_retried_after_a_delay():
+    clock, store, state, source = start_with_complete_state()
     assert not source.is_behind()
-    store.push("op", lose())
+    store.push("op", make_store_error())
     assert source.is_behind()
     calls = len(store.calls)
     clock.advance(0.2)
@@ -133,22 +133,22 @@
     clock.advance(0.3)
     assert len(store.calls) == calls + 1
     assert state.is_complete
-    store.push("op", rows(11))
+    store.push("op", make_rows(11))
     assert not source.is_behind()
 
 
-def test_older_configuration_is_never_put_in_force():
-    clock, store, state, _ = start_complete()
-    store.push("op", rows(20, config={**CONFIGURATION, "version": 6}))
+def test_older_configuration_is_never_applied():
+    clock, store, state, _ = start_with_complete_state()
+    store.push("op", make_rows(20, config={**CONFIGURATION, "version": 6}))
     assert state.configuration.version == 7
     clock.advance(0.3)
-    store.push("op", rows(21, config={**CONFIGURATION, "version": 9}))
+    store.push("op", make_rows(21, config={**CONFIGURATION, "version": 9}))
     assert state.configuration.version == 9
 
 
-def test_entries_of_other_writers_name_no_server_and_the_rest_holds():
-    clock, store, state, _ = start_complete()
-    bad = {
+def test_malformed_entries_are_ignored_and_valid_entries_applied():
+    clock, store, state, _ = start_with_complete_state()
+    malformed = {
         "s_2": None,
         "s_3": {**SERVER, "slots": "many"},
         "s_4": {**SERVER, "state": "resting"},
@@ -157,33 +157,36 @@
         "s_7": ["not", "an", "object"],
         "s_8": {**SERVER, "born": "yesterday"},
     }
-    made = [Row(key.replace("_", "-"), each, 20, False) for key, each in bad.items()]
-    good = Row("s-9", {**SERVER, "address": "10.0.0.9:80"}, 20, False)
-    store.push("servers", Rows((*made, good), 20, False))
-    listed = {each.server_id for each in state.backends}
+    malformed_rows = [
+        Row(key.replace("_", "-"), document, 20, False)
+        for key, document in malformed.items()
+    ]
+    valid_row = Row("s-9", {**SERVER, "address": "10.0.0.9:80"}, 20, False)
+    store.push("servers", RowBatch((*malformed_rows, valid_row), 20, False))
+    listed = {backend.server_id for backend in state.backends}
     assert listed == {"s-1", "s-9"}
 
 
-def test_entry_that_becomes_unreadable_names_no_server_any_more():
-    _, store, state, _ = start_complete()
-    store.push("servers", rows(20, s_1={**SERVER, "slots": True}))
+def test_server_is_removed_when_its_entry_becomes_malformed():
+    _, store, state, _ = start_with_complete_state()
+    store.push("servers", make_rows(20, s_1={**SERVER, "slots": True}))
     assert state.backends.find("s-1") is None
 
 
-def test_restart_under_the_same_id_is_another_process():
-    clock, store, state, _ = start_complete()
+def test_restart_with_the_same_id_is_a_new_process():
+    clock, store, state, _ = start_with_complete_state()
     before = state.backends.find("s-1")
     before.record_unreachable(clock.seconds())
-    store.push("servers", rows(20, s_1={**SERVER, "born": 2000, "sequence": 1}))
+    store.push("servers", make_rows(20, s_1={**SERVER, "born": 2000, "sequence": 1}))
     after = state.backends.find("s-1")
     assert after is not before
     assert after.is_usable(clock.seconds())
 
 
-def test_peer_state_is_taken_only_where_it_is_newer():
-    _, _, state, source = start_complete()
+def test_peer_state_is_merged_only_where_it_is_newer():
+    _, _, state, source = start_with_complete_state()
     exported = source.export()
-    _, _, other_state, other = build()
+    _, _, other_state, other = build_source()
     other.merge(exported)
     assert other_state.is_complete
     assert other.read_version() == (7, 12)
@@ -193,14 +196,14 @@
     assert state.backends.find("s-1") is not None  # 11 is older than 12
 
 
-def test_new_entry_at_the_address_keeps_work_from_the_old_one():
-    clock, store, state, _ = start_complete()
-    store.push("servers", rows(20, s_2=SERVER))
+def test_new_entry_at_an_address_makes_the_old_entry_unusable():
+    clock, store, state, _ = start_with_complete_state()
+    store.push("servers", make_rows(20, s_2=SERVER))
     assert not state.backends.find("s-1").is_usable(clock.seconds())
     assert state.backends.find("s-2").is_usable(clock.seconds())
 
 
-def test_package_of_the_adapter_is_the_only_one_with_the_platforms_names():
+def test_platform_names_occur_only_in_the_adapter():
     root = pathlib.Path(__file__).resolve().parents[2]
     names = ("X-Attempt-Id", "x-attempt-id", "X-Kv-Backup", "kv-from", "rows-feed")
     names += ("apiKeys", "pathPrefix", "X-Server-Stamp", "nodeName")
