--- a/packages/standins/src/ebonyhaven_standins/resuming/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/__init__.py
@@ -1,5 +1,9 @@
 """Experiment: streams through the loss of whole data centres, in simulated time."""
 
-from ebonyhaven_standins.resuming._experiment import Outcome, Way, play
+from ebonyhaven_standins.resuming._experiment import (
+    ExperimentResult,
+    RecoveryStrategy,
+    run_experiment,
+)
 
-__all__ = ["Outcome", "Way", "play"]
+__all__ = ["ExperimentResult", "RecoveryStrategy", "run_experiment"]
--- a/packages/standins/src/ebonyhaven_standins/resuming/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/__main__.py
@@ -8,11 +8,15 @@
 
 import structlog
 
-from ebonyhaven_standins.resuming._experiment import Outcome, Way, play
+from ebonyhaven_standins.resuming._experiment import (
+    ExperimentResult,
+    RecoveryStrategy,
+    run_experiment,
+)
 
-LOADS_PER_S = (2.0, 5.0, 8.0, 12.0)
-RESULTS = pathlib.Path("bench/results/resuming.json")
-PLOT = pathlib.Path("bench/results/resuming.png")
+STREAM_ARRIVALS_PER_S = (2.0, 5.0, 8.0, 12.0)
+RESULTS_PATH = pathlib.Path("bench/results/resuming.json")
+PLOT_PATH = pathlib.Path("bench/results/resuming.png")
 
 
 def main() -> None:
@@ -20,24 +24,24 @@
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
-    outcomes: list[Outcome] = []
-    for per_s in LOADS_PER_S:
-        for way in Way:
-            outcome = play(way, per_s)
+    outcomes: list[ExperimentResult] = []
+    for per_s in STREAM_ARRIVALS_PER_S:
+        for way in RecoveryStrategy:
+            outcome = run_experiment(way, per_s)
             outcomes.append(outcome)
             print(json.dumps(outcome._asdict()), flush=True)
-    RESULTS.parent.mkdir(parents=True, exist_ok=True)
+    RESULTS_PATH.parent.mkdir(parents=True, exist_ok=True)
     document = [outcome._asdict() for outcome in outcomes]
-    RESULTS.write_text(json.dumps(document, indent=1) + "\n")
-    draw(outcomes, PLOT)
+    RESULTS_PATH.write_text(json.dumps(document, indent=1) + "\n")
+    plot_results(outcomes, PLOT_PATH)
 
 
-def draw(outcomes: list[Outcome], path: pathlib.Path) -> None:
+def plot_results(outcomes: list[ExperimentResult], path: pathlib.Path) -> None:
     """Draw the share of streams in time over the load, a line for each way.
 
     Parameters
     ----------
-    outcomes : list of Outcome
+    outcomes : list of ExperimentResult
     path : pathlib.Path
         Where the picture goes.
     """
@@ -47,7 +51,7 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(6, 4))
-    for way in Way:
+    for way in RecoveryStrategy:
         own = [each for each in outcomes if each.way == way.value]
         loads = [each.per_s for each in own]
         axes.plot(loads, [each.in_time for each in own], marker="o", label=way.value)
--- a/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
@@ -14,10 +14,10 @@
 from ebonyhaven_node.forwarding.interfaces import BackendDialect, CallerDialect
 
 HOST = "engines.example"
-KEY = "key"
+API_KEY = "key"
 
 
-class PlainCallers(CallerDialect):
+class SimulatedCallerDialect(CallerDialect):
     """Requests with an id and two sizes."""
 
     def read_request(self, exchange: Exchange) -> ForwardRequest:
@@ -33,7 +33,7 @@
             headers=(),
             body=exchange.body,
             wait_s=None,
-            api_key=KEY,
+            api_key=API_KEY,
             last_event_id=None,
             size=GenerationSize(int(prompt), int(output)),
             prompt_id=found["id"],
@@ -45,7 +45,7 @@
         return (), outcome.reason.encode()
 
 
-class PlainBackends(BackendDialect):
+class SimulatedBackendDialect(BackendDialect):
     """What engines are told and tell."""
 
     def write_headers(
--- a/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
@@ -12,37 +12,37 @@
 from ebonyhaven_standins.memory_connections import ServerSide
 
 PREFILL_TOKENS_PER_S = 8000.0
-FIRST_EVENT_S = 0.1
-EVENT_S = 0.026  # six tokens at 4.4 ms
-PREFILL_SLOWDOWN = 4.0  # of the events beside a prompt that is being read
+FIRST_EVENT_DELAY_S = 0.1
+EVENT_INTERVAL_S = 0.026  # six tokens at 4.4 ms
+PREFILL_SLOWDOWN_FACTOR = 4.0  # of the events beside a prompt that is being read
 COPY_INTERVAL_S = 0.25
-FROM_COPY_S = 0.02
-TOKENS_AN_EVENT = 6
-LIST_LAG_S = 0.3  # until a restarted engine is listed
+COPY_RESUME_DELAY_S = 0.02
+TOKENS_PER_EVENT = 6
+LISTING_DELAY_S = 0.3  # until a restarted engine is listed
 
 
 @attrs.define(slots=True, eq=False)
 class _Run:
     request_id: str
     prompt_tokens: int
-    events: int
-    made: int
-    side: ServerSide
+    total_events: int
+    generated_events: int
+    connection: ServerSide
     copy_to: str | None
-    copied_at: float = 0.0
-    calls: list = attrs.field(factory=list)
+    last_copy_at: float = 0.0
+    timers: list = attrs.field(factory=list)
 
 
-class Engine:
+class SimulatedEngine:
     """One engine; a crash empties it.
 
     Parameters
     ----------
     name, data_centre, address : str
-    fleet : Fleet
+    fleet : EngineFleet
     """
 
-    def __init__(self, name: str, data_centre: str, address: str, fleet: Fleet):
+    def __init__(self, name: str, data_centre: str, address: str, fleet: EngineFleet):
         self.name = name
         self.data_centre = data_centre
         self.address = address
@@ -51,10 +51,10 @@
         self.copies: dict[str, int] = {}
         self.runs: dict[str, _Run] = {}
         self._fleet = fleet
-        self._reads_until = 0.0
-        self._sides: list[ServerSide] = []
+        self._prefill_ends_at = 0.0
+        self._connections: list[ServerSide] = []
 
-    def describe(self) -> BackendEntry:
+    def make_entry(self) -> BackendEntry:
         """Return its entry in the list."""
         return BackendEntry(
             server_id=self.name,
@@ -68,25 +68,25 @@
 
     def accept(self, side: ServerSide) -> None:
         """Take a new connection."""
-        self._sides.append(side)
+        self._connections.append(side)
 
-    def take_requests(self) -> None:
+    def process_requests(self) -> None:
         """Begin what arrived, and drop the runs of closed connections."""
-        for side in self._sides:
+        for side in self._connections:
             if side.has_request() and not side.is_closed:
-                self._begin(side)
-        self._sides = [side for side in self._sides if not side.is_closed]
+                self._start_run(side)
+        self._connections = [side for side in self._connections if not side.is_closed]
         for run in list(self.runs.values()):
-            if run.side.is_closed:
-                self._end(run)
+            if run.connection.is_closed:
+                self._stop_run(run)
 
     def crash(self) -> None:
         """Lose everything and refuse connections."""
         self.is_down = True
         self.copies.clear()
         for run in list(self.runs.values()):
-            self._end(run)
-        sides, self._sides = self._sides, []
+            self._stop_run(run)
+        sides, self._connections = self._connections, []
         for side in sides:
             if not side.is_closed:
                 side.reset()
@@ -94,99 +94,103 @@
     def restart(self) -> None:
         """Come back empty; the list tells some time later."""
         self.is_down = False
-        self._reads_until = 0.0
+        self._prefill_ends_at = 0.0
         self.started_ms += 1
-        self._fleet.clock.callLater(LIST_LAG_S, self._fleet.on_listed, self.describe())
+        self._fleet.clock.callLater(
+            LISTING_DELAY_S, self._fleet.on_listed, self.make_entry()
+        )
 
-    def copy_run(self, request_id: str, target: Engine) -> bool:
+    def copy_run(self, request_id: str, target: SimulatedEngine) -> bool:
         """Copy the memory of a run to another engine, if both can.
 
         Parameters
         ----------
         request_id : str
-        target : Engine
+        target : SimulatedEngine
 
         Returns
         -------
         bool
         """
         run = self.runs.get(request_id)
-        if run is None or target.is_down or run.made == 0:
+        if run is None or target.is_down or run.generated_events == 0:
             return False
         known = target.copies.get(request_id)
-        tokens = TOKENS_AN_EVENT * (run.made - (known or 0))
+        tokens = TOKENS_PER_EVENT * (run.generated_events - (known or 0))
         self._fleet.moved_tokens += tokens + (run.prompt_tokens if known is None else 0)
-        target.copies[request_id] = run.made
+        target.copies[request_id] = run.generated_events
         return True
 
-    def _begin(self, side: ServerSide) -> None:
+    def _start_run(self, side: ServerSide) -> None:
         head, _ = side.read_request()
         fields = {name.decode(): value.decode() for name, value in head.headers}
         request_id = fields["id"]
         copy = fields.get("copy")
         if copy is not None and copy not in self.copies:
-            side.receive(_refuse(request_id))
+            side.receive(_encode_refusal(request_id))
             return
         prompt, _, output = fields["size"].partition("/")
         run = _Run(
             request_id=request_id,
             prompt_tokens=int(prompt),
-            events=int(output) // TOKENS_AN_EVENT,
-            made=int(fields.get("after", 0)),
-            side=side,
+            total_events=int(output) // TOKENS_PER_EVENT,
+            generated_events=int(fields.get("after", 0)),
+            connection=side,
             copy_to=fields.get("copy-to"),
         )
         self.runs[request_id] = run
-        self._schedule(run, self._reserve_start(run, copy, "after" in fields))
+        self._schedule(run, self._schedule_prefill(run, copy, "after" in fields))
 
-    def _reserve_start(self, run: _Run, copy: str | None, is_resumed: bool) -> float:
+    def _schedule_prefill(self, run: _Run, copy: str | None, is_resumed: bool) -> float:
         """Return the time until the first event."""
         if copy is not None:
             self.copies.pop(copy, None)
-            return FROM_COPY_S
+            return COPY_RESUME_DELAY_S
         now = self._fleet.clock.seconds()
         if is_resumed:
             self._fleet.read_again_tokens += run.prompt_tokens
-        start = max(now, self._reads_until)
-        self._reads_until = start + run.prompt_tokens / PREFILL_TOKENS_PER_S
-        return self._reads_until - now + FIRST_EVENT_S
+        start = max(now, self._prefill_ends_at)
+        self._prefill_ends_at = start + run.prompt_tokens / PREFILL_TOKENS_PER_S
+        return self._prefill_ends_at - now + FIRST_EVENT_DELAY_S
 
     def _schedule(self, run: _Run, delay_s: float) -> None:
-        run.calls = [self._fleet.clock.callLater(delay_s, self._make_event, run, True)]
+        run.timers = [self._fleet.clock.callLater(delay_s, self._emit_event, run, True)]
 
-    def _make_event(self, run: _Run, is_first: bool) -> None:
+    def _emit_event(self, run: _Run, is_first: bool) -> None:
         if is_first:
-            run.side.receive(_open_stream(run.request_id))
-        run.made += 1
-        run.side.receive(_chunk(f"id: {run.made}\ndata: x\n\n".encode()))
-        self._copy_grown(run)
-        if run.made >= run.events:
-            self._end(run)
-            run.side.receive(b"0\r\n\r\n")
+            run.connection.receive(_encode_stream_head(run.request_id))
+        run.generated_events += 1
+        run.connection.receive(
+            _encode_chunk(f"id: {run.generated_events}\ndata: x\n\n".encode())
+        )
+        self._copy_if_due(run)
+        if run.generated_events >= run.total_events:
+            self._stop_run(run)
+            run.connection.receive(b"0\r\n\r\n")
             return
         now = self._fleet.clock.seconds()
-        slowdown = PREFILL_SLOWDOWN if now < self._reads_until else 1.0
-        run.calls = [
+        slowdown = PREFILL_SLOWDOWN_FACTOR if now < self._prefill_ends_at else 1.0
+        run.timers = [
             self._fleet.clock.callLater(
-                EVENT_S * slowdown, self._make_event, run, False
+                EVENT_INTERVAL_S * slowdown, self._emit_event, run, False
             )
         ]
 
-    def _copy_grown(self, run: _Run) -> None:
+    def _copy_if_due(self, run: _Run) -> None:
         now = self._fleet.clock.seconds()
-        if run.copy_to is None or now - run.copied_at < COPY_INTERVAL_S:
+        if run.copy_to is None or now - run.last_copy_at < COPY_INTERVAL_S:
             return
-        run.copied_at = now
+        run.last_copy_at = now
         self.copy_run(run.request_id, self._fleet.by_address[run.copy_to])
 
-    def _end(self, run: _Run) -> None:
-        for call in run.calls:
+    def _stop_run(self, run: _Run) -> None:
+        for call in run.timers:
             if call.active():
                 call.cancel()
         self.runs.pop(run.request_id, None)
 
 
-class Fleet(RunCopier):
+class EngineFleet(RunCopier):
     """All engines, and what they cost.
 
     Parameters
@@ -216,7 +220,9 @@
         self.moved_tokens = 0
         self.read_again_tokens = 0
         self.engines = [
-            Engine(f"e{zone}{number}", f"dc-{zone}", f"10.0.{zone}.{number}:80", self)
+            SimulatedEngine(
+                f"e{zone}{number}", f"dc-{zone}", f"10.0.{zone}.{number}:80", self
+            )
             for zone in range(data_centres)
             for number in range(engines)
         ]
@@ -248,15 +254,15 @@
             engine.copies.pop(handle, None)
 
 
-def _refuse(request_id: str) -> bytes:
+def _encode_refusal(request_id: str) -> bytes:
     lines = ("HTTP/1.1 503 Refused", f"id: {request_id}", "not-run: 1")
     return "\r\n".join((*lines, "content-length: 0", "", "")).encode()
 
 
-def _open_stream(request_id: str) -> bytes:
+def _encode_stream_head(request_id: str) -> bytes:
     lines = ("HTTP/1.1 200 OK", f"id: {request_id}", "transfer-encoding: chunked")
     return "\r\n".join((*lines, "", "")).encode()
 
 
-def _chunk(data: bytes) -> bytes:
+def _encode_chunk(data: bytes) -> bytes:
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
--- a/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
@@ -36,31 +36,31 @@
     make_settings,
 )
 from ebonyhaven_standins.resuming._dialect import (
+    API_KEY,
     HOST,
-    KEY,
-    PlainBackends,
-    PlainCallers,
+    SimulatedBackendDialect,
+    SimulatedCallerDialect,
 )
-from ebonyhaven_standins.resuming._engines import Fleet
+from ebonyhaven_standins.resuming._engines import EngineFleet
 
 TARGET_LATENCY_S = 4.5
 TARGET_GAP_S = 0.7
 TIMEOUT_S = 25.0
-MEMORY_TOKENS = 88_000
+ENGINE_MEMORY_TOKENS = 88_000
 PROMPT_TOKENS = 8000
-PROMPT_SPREAD = 0.3
+PROMPT_TOKENS_SPREAD_SHARE = 0.3
 OUTPUT_TOKENS = 780
-LENGTH_S = 40.0
+DURATION_S = 40.0
 FIRST_CRASH_S = 4.0
 CRASH_INTERVAL_S = 6.5
-DOWN_S = 1.2
-STEP_S = 0.005
+DOWNTIME_S = 1.2
+SIMULATION_STEP_S = 0.005
 DATA_CENTRES = 3
-ENGINES = 6
+ENGINES_PER_DATA_CENTRE = 6
 PATH = "/stream/"
 
 
-class Way(enum.Enum):
+class RecoveryStrategy(enum.Enum):
     """How a stream that lost its engine goes on."""
 
     COPY = "copy"
@@ -68,7 +68,7 @@
     RESTART = "restart"
 
 
-class Outcome(NamedTuple):
+class ExperimentResult(NamedTuple):
     """What one run of the experiment showed.
 
     Parameters
@@ -99,7 +99,7 @@
     read_again_tokens: int
 
 
-class _FixedState(StateSource):
+class _StaticSource(StateSource):
     """Configuration and servers are put in place by the experiment."""
 
     def start(self) -> None:
@@ -124,7 +124,7 @@
         """See `StateSource.merge`."""
 
 
-class _NoInspector(ServerInspector):
+class _NullInspector(ServerInspector):
     """Knows nothing of any server."""
 
     async def inspect(self, address: str) -> InspectedServer | None:
@@ -137,38 +137,38 @@
 
     def __init__(self, gateway: Gateway, request_id: str, prompt: int, now: float):
         self.request_id = request_id
-        self.asked_at = now
-        self.first_s: float | None = None
-        self.longest_s = 0.0
-        self.is_whole = False
+        self.sent_at = now
+        self.first_event_s: float | None = None
+        self.max_gap_s = 0.0
+        self.is_complete = False
         self.restarts = 0
-        self._is_refused = False
+        self._is_rejected = False
         self._prompt = prompt
         self._gateway = gateway
         self._last_at = now
         self._send()
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether nothing more will come."""
-        return self.is_whole or self._is_refused
+        return self.is_complete or self._is_rejected
 
     @property
-    def is_in_time(self) -> bool:
+    def meets_targets(self) -> bool:
         """Whether callers got what the targets say."""
         return (
-            self.is_whole
+            self.is_complete
             and not self.restarts
-            and self.first_s <= TARGET_LATENCY_S
-            and self.longest_s <= TARGET_GAP_S
+            and self.first_event_s <= TARGET_LATENCY_S
+            and self.max_gap_s <= TARGET_GAP_S
         )
 
-    def look(self, now: float) -> None:
+    def poll(self, now: float) -> None:
         """Take note of what arrived since the last look."""
-        if self.is_over:
+        if self.is_finished:
             return
         self._read(now)
-        if self._transport.aborted and not self.is_whole:
+        if self._transport.aborted and not self.is_complete:
             self.restarts += 1
             self._send()
 
@@ -197,93 +197,99 @@
         while True:
             event = self._codec.next_event()
             if isinstance(event, h11.Response):
-                self._is_refused = event.status_code != 200
-            elif isinstance(event, h11.Data) and not self._is_refused:
-                self._take_event(now)
+                self._is_rejected = event.status_code != 200
+            elif isinstance(event, h11.Data) and not self._is_rejected:
+                self._record_event(now)
             elif isinstance(event, h11.EndOfMessage):
-                self.is_whole = not self._is_refused
+                self.is_complete = not self._is_rejected
                 return
             elif event is h11.NEED_DATA or event is h11.PAUSED:
                 return
 
-    def _take_event(self, now: float) -> None:
-        if self.first_s is None:
-            self.first_s = now - self.asked_at
+    def _record_event(self, now: float) -> None:
+        if self.first_event_s is None:
+            self.first_event_s = now - self.sent_at
         else:
-            self.longest_s = max(self.longest_s, now - self._last_at)
+            self.max_gap_s = max(self.max_gap_s, now - self._last_at)
         self._last_at = now
 
 
-class _Experiment:
+class _Simulation:
     """One run: a node in memory between callers and simulated engines."""
 
-    def __init__(self, way: Way, per_s: float, seed: int, length_s: float):
-        self._length_s = length_s
+    def __init__(
+        self, way: RecoveryStrategy, per_s: float, seed: int, duration_s: float
+    ):
+        self._duration_s = duration_s
         self._way = way
         self._per_s = per_s
         self._rng = random.Random(seed)
         self._reactor = MemoryReactorClock()
         self._reactor.advance(100.0)
-        self._fleet = Fleet(
+        self._fleet = EngineFleet(
             clock=self._reactor,
             data_centres=DATA_CENTRES,
-            engines=ENGINES,
-            on_listed=self._take_entry,
+            engines=ENGINES_PER_DATA_CENTRE,
+            on_listed=self._update_entry,
         )
         self._gateway = self._build_gateway(seed)
-        entries = {each.name: each.describe() for each in self._fleet.engines}
+        entries = {each.name: each.make_entry() for each in self._fleet.engines}
         self._gateway.state.apply_configuration(_make_configuration(way))
         self._gateway.state.replace_backends(entries)
-        self._seen = 0
+        self._accepted_connections = 0
         self._streams: list[_Stream] = []
 
-    def run(self) -> Outcome:
+    def run(self) -> ExperimentResult:
         """Play it and return what it showed."""
         start = self._reactor.seconds()
         crash_at = start + FIRST_CRASH_S
         next_at = start + self._rng.expovariate(self._per_s)
         crashes = 0
-        end = start + self._length_s
-        while self._reactor.seconds() < end or self._is_busy(end):
+        end = start + self._duration_s
+        while self._reactor.seconds() < end or self._has_open_streams(end):
             now = self._reactor.seconds()
             if next_at <= now < end:
-                self._ask(now)
+                self._start_stream(now)
                 next_at += self._rng.expovariate(self._per_s)
             if crash_at <= now < end:
                 zone = f"dc-{crashes % DATA_CENTRES}"
-                self._fleet.crash_data_centre(zone, DOWN_S)
+                self._fleet.crash_data_centre(zone, DOWNTIME_S)
                 crashes += 1
                 crash_at += CRASH_INTERVAL_S
             self._step()
         return self._summarize()
 
-    def _is_busy(self, end: float) -> bool:
+    def _has_open_streams(self, end: float) -> bool:
         """Tell whether a stream may still go on after the last arrival."""
-        is_over = self._reactor.seconds() >= end + TIMEOUT_S
-        return not is_over and not all(each.is_over for each in self._streams)
+        is_finished = self._reactor.seconds() >= end + TIMEOUT_S
+        return not is_finished and not all(each.is_finished for each in self._streams)
 
-    def _take_entry(self, entry: BackendEntry) -> None:
+    def _update_entry(self, entry: BackendEntry) -> None:
         self._gateway.state.put_backend(entry)
 
-    def _ask(self, now: float) -> None:
-        spread = self._rng.uniform(1 - PROMPT_SPREAD, 1 + PROMPT_SPREAD)
+    def _start_stream(self, now: float) -> None:
+        spread = self._rng.uniform(
+            1 - PROMPT_TOKENS_SPREAD_SHARE, 1 + PROMPT_TOKENS_SPREAD_SHARE
+        )
         name = f"r{len(self._streams)}"
         prompt = int(PROMPT_TOKENS * spread)
         self._streams.append(_Stream(self._gateway, name, prompt, now))
 
     def _step(self) -> None:
-        self._accept()
+        self._accept_connections()
         for engine in self._fleet.engines:
-            engine.take_requests()
-        self._reactor.advance(STEP_S)
+            engine.process_requests()
+        self._reactor.advance(SIMULATION_STEP_S)
         now = self._reactor.seconds()
         for stream in self._streams:
-            stream.look(now)
-
-    def _accept(self) -> None:
-        while self._seen < len(self._reactor.tcpClients):
-            host, port, factory, _, _ = self._reactor.tcpClients[self._seen]
-            self._seen += 1
+            stream.poll(now)
+
+    def _accept_connections(self) -> None:
+        while self._accepted_connections < len(self._reactor.tcpClients):
+            host, port, factory, _, _ = self._reactor.tcpClients[
+                self._accepted_connections
+            ]
+            self._accepted_connections += 1
             engine = self._fleet.by_address[f"{host}:{port}"]
             if engine.is_down:
                 factory.clientConnectionFailed(None, Failure(Refused()))
@@ -295,25 +301,25 @@
         return Gateway(
             settings=make_settings("dc-0"),
             reactor=self._reactor,
-            caller_dialect=PlainCallers(),
-            backend_dialect=PlainBackends(),
-            build_source=lambda state, pool: _FixedState(),
-            build_inspector=lambda pool: _NoInspector(),
+            caller_dialect=SimulatedCallerDialect(),
+            backend_dialect=SimulatedBackendDialect(),
+            build_source=lambda state, pool: _StaticSource(),
+            build_inspector=lambda pool: _NullInspector(),
             build_copier=lambda pool: self._fleet,
             rng=random.Random(seed),
             clock=self._reactor.seconds,
         )
 
-    def _summarize(self) -> Outcome:
+    def _summarize(self) -> ExperimentResult:
         streams = self._streams
-        pauses = [each.longest_s for each in streams if each.longest_s > 0.2] or [0.0]
+        pauses = [each.max_gap_s for each in streams if each.max_gap_s > 0.2] or [0.0]
         pauses.sort()
-        return Outcome(
+        return ExperimentResult(
             way=self._way.value,
             per_s=self._per_s,
             streams=len(streams),
-            in_time=round(statistics.mean(each.is_in_time for each in streams), 3),
-            whole=round(statistics.mean(each.is_whole for each in streams), 3),
+            in_time=round(statistics.mean(each.meets_targets for each in streams), 3),
+            whole=round(statistics.mean(each.is_complete for each in streams), 3),
             pause_p50_s=round(pauses[len(pauses) // 2], 3),
             pause_p95_s=round(pauses[int(0.95 * (len(pauses) - 1))], 3),
             pause_max_s=round(pauses[-1], 3),
@@ -322,8 +328,8 @@
         )
 
 
-def _make_configuration(way: Way) -> RoutingConfiguration:
-    has_copies = way is Way.COPY
+def _make_configuration(way: RecoveryStrategy) -> RoutingConfiguration:
+    has_copies = way is RecoveryStrategy.COPY
     route = Route(
         name="stream",
         host=HOST,
@@ -336,35 +342,39 @@
         shares=(ServiceShare("engines", 1.0),),
         max_attempts=5,
         is_anonymous=False,
-        is_resumable=way is not Way.RESTART,
+        is_resumable=way is not RecoveryStrategy.RESTART,
     )
-    traits = EngineTraits(64, MEMORY_TOKENS, has_copies, has_copies, 4.0)
+    traits = EngineTraits(64, ENGINE_MEMORY_TOKENS, has_copies, has_copies, 4.0)
     return RoutingConfiguration(
         version=1,
         routes=group_routes([route]),
         services={"engines": Service("engines", 400, traits)},
-        workspaces={KEY: Workspace("studio-a", None)},
+        workspaces={API_KEY: Workspace("studio-a", None)},
         requires_keys=True,
         limits=CallerLimits(),
     )
 
 
-def play(
-    way: Way, per_s: float, *, seed: int = 1, length_s: float = LENGTH_S
-) -> Outcome:
+def run_experiment(
+    way: RecoveryStrategy,
+    per_s: float,
+    *,
+    seed: int = 1,
+    duration_s: float = DURATION_S,
+) -> ExperimentResult:
     """Play the experiment once.
 
     Parameters
     ----------
-    way : Way
+    way : RecoveryStrategy
     per_s : float
         Streams that arrive in a second.
     seed : int
-    length_s : float
+    duration_s : float
         Time in which streams arrive and data centres are lost, seconds.
 
     Returns
     -------
-    Outcome
+    ExperimentResult
     """
-    return _Experiment(way, per_s, seed, length_s).run()
+    return _Simulation(way, per_s, seed, duration_s).run()
--- a/packages/standins/src/ebonyhaven_standins/slopes/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/__init__.py
@@ -2,16 +2,20 @@
 
 from __future__ import annotations
 
-from ebonyhaven_standins.slopes._capacity import LINES, Line, render_capacity
-from ebonyhaven_standins.slopes._fits import Fit, Point, average, fit_line
-from ebonyhaven_standins.slopes._rows import ROWS, Measurement, Row
-from ebonyhaven_standins.slopes._running import (
-    MEASURES,
+from ebonyhaven_standins.slopes._benchmarks import (
+    BENCHMARKS,
     make_measurements,
-    print_measurement,
+    print_points,
     read_points,
-    run_all,
+    run_benchmarks,
 )
+from ebonyhaven_standins.slopes._capacity import (
+    CAPACITY_LINES,
+    CapacityLine,
+    render_capacity,
+)
+from ebonyhaven_standins.slopes._fits import Fit, Point, fit_line, fit_mean
+from ebonyhaven_standins.slopes._quantities import QUANTITIES, Measurement, Quantity
 from ebonyhaven_standins.slopes._tables import (
     format_figure,
     render_slopes,
@@ -19,22 +23,22 @@
 )
 
 __all__ = [
-    "LINES",
-    "MEASURES",
-    "ROWS",
+    "CAPACITY_LINES",
+    "BENCHMARKS",
+    "QUANTITIES",
     "Fit",
-    "Line",
+    "CapacityLine",
     "Measurement",
     "Point",
-    "Row",
-    "average",
+    "Quantity",
+    "fit_mean",
     "fit_line",
     "format_figure",
     "make_measurements",
-    "print_measurement",
+    "print_points",
     "read_points",
     "render_capacity",
     "render_slopes",
     "replace_tables",
-    "run_all",
+    "run_benchmarks",
 ]
--- a/packages/standins/src/ebonyhaven_standins/slopes/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/__main__.py
@@ -7,14 +7,14 @@
 
 import typer
 
-RESULTS = pathlib.Path("bench/results/slopes.json")
+RESULTS_PATH = pathlib.Path("bench/results/slopes.json")
 
 
 def main(
     measure: Annotated[
         str | None, typer.Option(help="Take one measurement and print its points.")
     ] = None,
-    output: Annotated[pathlib.Path, typer.Option(help="JSON file.")] = RESULTS,
+    output: Annotated[pathlib.Path, typer.Option(help="JSON file.")] = RESULTS_PATH,
     again: Annotated[
         bool, typer.Option(help="Measure what the JSON file holds already.")
     ] = True,
@@ -24,12 +24,12 @@
     ] = None,
 ) -> None:
     """Measure all slopes, print the tables and write the points as JSON."""
-    from ebonyhaven_standins.slopes import print_measurement, run_all
+    from ebonyhaven_standins.slopes import print_points, run_benchmarks
 
     if measure is not None:
-        print_measurement(measure)
+        print_points(measure)
     else:
-        run_all(output=output, page=page, again=again)
+        run_benchmarks(output=output, page=page, again=again)
 
 
 if __name__ == "__main__":
--- a/packages/standins/src/ebonyhaven_standins/slopes/_running.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_benchmarks.py
@@ -11,36 +11,40 @@
 from typing import NamedTuple
 
 from ebonyhaven_standins.slopes import (
-    _keeping,
+    _idle_nodes,
+    _kept_runs,
     _losses,
     _membership,
     _memory,
     _platform_reads,
+    _process_usage,
     _processor,
     _relaying,
-    _resident,
-    _rest,
 )
 from ebonyhaven_standins.slopes._capacity import render_capacity
 from ebonyhaven_standins.slopes._fits import Point
-from ebonyhaven_standins.slopes._rows import ROWS, Measurement, make_measurement
+from ebonyhaven_standins.slopes._quantities import (
+    QUANTITIES,
+    Measurement,
+    make_measurement,
+)
 from ebonyhaven_standins.slopes._tables import render_slopes, replace_tables
 
 
-class Measure(NamedTuple):
+class Benchmark(NamedTuple):
     """A function that measures rows, and the keys of these rows."""
 
-    take: Callable[[], list[Measurement]]
+    measure: Callable[[], list[Measurement]]
     keys: tuple[str, ...]
 
 
-MEASURES: Mapping[str, Measure] = {
-    "bare_interpreter": Measure(
-        _resident.measure_bare_interpreter, ("bare_interpreter",)
+BENCHMARKS: Mapping[str, Benchmark] = {
+    "bare_interpreter": Benchmark(
+        _process_usage.measure_bare_interpreter, ("bare_interpreter",)
     ),
-    "libraries": Measure(_resident.measure_libraries, ("libraries",)),
-    "rest": Measure(
-        _rest.measure_rest,
+    "libraries": Benchmark(_process_usage.measure_libraries, ("libraries",)),
+    "rest": Benchmark(
+        _idle_nodes.measure_idle_nodes,
         (
             "node_at_rest",
             "rest_bytes",
@@ -50,47 +54,53 @@
             "pool_writes",
         ),
     ),
-    "peer_state": Measure(_memory.measure_peer_state, ("peer_state",)),
-    "server_state": Measure(_memory.measure_server_state, ("server_state",)),
-    "workspace_state": Measure(_memory.measure_workspace_state, ("workspace_state",)),
-    "workspace_metrics": Measure(
+    "peer_state": Benchmark(_memory.measure_peer_state, ("peer_state",)),
+    "server_state": Benchmark(_memory.measure_server_state, ("server_state",)),
+    "workspace_state": Benchmark(_memory.measure_workspace_state, ("workspace_state",)),
+    "workspace_metrics": Benchmark(
         _memory.measure_workspace_metrics, ("workspace_metrics",)
     ),
-    "streams": Measure(_relaying.measure_streams, ("stream_memory",)),
-    "kept_runs": Measure(_keeping.measure_kept_runs, ("key_memory", "token_memory")),
-    "relaying": Measure(_relaying.measure_relaying, ("token_cpu", "request_cpu")),
-    "messages": Measure(_processor.measure_messages, ("message_cpu",)),
-    "routing": Measure(_processor.measure_routing, ("routing_cpu",)),
-    "scrape": Measure(_processor.measure_scrape, ("scrape_cpu",)),
-    "membership": Measure(
+    "streams": Benchmark(_relaying.measure_streams, ("stream_memory",)),
+    "kept_runs": Benchmark(
+        _kept_runs.measure_kept_runs, ("key_memory", "token_memory")
+    ),
+    "relaying": Benchmark(_relaying.measure_relaying, ("token_cpu", "request_cpu")),
+    "messages": Benchmark(_processor.measure_messages, ("message_cpu",)),
+    "routing": Benchmark(_processor.measure_routing, ("routing_cpu",)),
+    "scrape": Benchmark(_processor.measure_scrape, ("scrape_cpu",)),
+    "membership": Benchmark(
         _membership.measure_membership,
         ("membership_messages", "membership_bytes", "membership_cpu"),
     ),
-    "list": Measure(
+    "list": Benchmark(
         _platform_reads.measure_list, ("list_bytes", "list_cpu", "list_state")
     ),
-    "declaration": Measure(_platform_reads.measure_declaration, ("declaration_bytes",)),
-    "losses": Measure(
+    "declaration": Benchmark(
+        _platform_reads.measure_declaration, ("declaration_bytes",)
+    ),
+    "losses": Benchmark(
         _losses.measure_losses, ("loss_seconds", "loss_messages", "loss_bytes")
     ),
-    "split": Measure(_losses.measure_split, ("heal_seconds",)),
+    "split": Benchmark(_losses.measure_partition, ("heal_seconds",)),
 }
-_MARK = "points: "
+_POINTS_PREFIX = "points: "
 
 
-def print_measurement(name: str) -> None:
+def print_points(name: str) -> None:
     """Take one measurement and print its points as JSON.
 
     Parameters
     ----------
     name : str
-        Key of `MEASURES`.
+        Key of `BENCHMARKS`.
     """
-    points = {item.row.key: item.points for item in MEASURES[name].take()}
-    print(_MARK + json.dumps(points), flush=True)
+    points = {item.quantity.key: item.points for item in BENCHMARKS[name].measure()}
+    print(_POINTS_PREFIX + json.dumps(points), flush=True)
 
 
-def run_all(*, output: pathlib.Path, page: pathlib.Path | None, again: bool) -> None:
+def run_benchmarks(
+    *, output: pathlib.Path, page: pathlib.Path | None, remeasure: bool
+) -> None:
     """Take all measurements, print the tables and write the points.
 
     Parameters
@@ -99,15 +109,15 @@
         JSON file of the points, written after each measurement.
     page : pathlib.Path or None
         Page whose tables are replaced.
-    again : bool
+    remeasure : bool
         Whether to measure what the file holds already.
     """
-    points = read_points(output) if output.exists() and not again else {}
-    for name, measure in MEASURES.items():
+    points = read_points(output) if output.exists() and not remeasure else {}
+    for name, measure in BENCHMARKS.items():
         if all(key in points for key in measure.keys):
             continue
         print(f"measuring {name}", file=sys.stderr, flush=True)
-        points |= _measure_apart(name)
+        points |= _measure_in_subprocess(name)
         write_points(output, points)
     measurements = make_measurements(points)
     tables = {
@@ -124,7 +134,7 @@
     points: Mapping[str, list[Point]],
 ) -> dict[str, Measurement]:
     """Return the measurements of all rows in their order."""
-    return {row.key: make_measurement(row.key, points[row.key]) for row in ROWS}
+    return {row.key: make_measurement(row.key, points[row.key]) for row in QUANTITIES}
 
 
 def write_points(path: pathlib.Path, points: Mapping[str, list[Point]]) -> None:
@@ -137,12 +147,14 @@
         Points by key of their row; rows may be missing.
     """
     measured = [
-        make_measurement(row.key, points[row.key]) for row in ROWS if row.key in points
+        make_measurement(row.key, points[row.key])
+        for row in QUANTITIES
+        if row.key in points
     ]
     rows = {
-        item.row.key: {
-            "unit": item.row.unit,
-            "size_unit": item.row.size_unit,
+        item.quantity.key: {
+            "unit": item.quantity.unit,
+            "size_unit": item.quantity.size_unit,
             "points": item.points,
             "value": item.value,
             "error_percent": item.fit.error_percent,
@@ -160,9 +172,11 @@
     return {key: [Point(*pair) for pair in row["points"]] for key, row in rows.items()}
 
 
-def _measure_apart(name: str) -> dict[str, list[Point]]:
+def _measure_in_subprocess(name: str) -> dict[str, list[Point]]:
     command = [sys.executable, "-m", "ebonyhaven_standins.slopes", "--measure", name]
     result = subprocess.run(command, check=True, stdout=subprocess.PIPE, text=True)
-    lines = [line for line in result.stdout.splitlines() if line.startswith(_MARK)]
-    found = json.loads(lines[-1].removeprefix(_MARK))
+    lines = [
+        line for line in result.stdout.splitlines() if line.startswith(_POINTS_PREFIX)
+    ]
+    found = json.loads(lines[-1].removeprefix(_POINTS_PREFIX))
     return {key: [Point(*pair) for pair in pairs] for key, pairs in found.items()}
--- a/packages/standins/src/ebonyhaven_standins/slopes/_capacity.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_capacity.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ebonyhaven_standins.slopes import _target as target
-from ebonyhaven_standins.slopes._rows import Measurement
+from ebonyhaven_standins.slopes._quantities import Measurement
 from ebonyhaven_standins.slopes._tables import format_figure, render_table
 
 CAPACITY_HEADER = (
@@ -23,7 +23,7 @@
 Values = Mapping[str, float]
 
 
-class Line(NamedTuple):
+class CapacityLine(NamedTuple):
     """One line of the capacity table.
 
     ``limit`` is None where nobody has set one; a line fits if its value is not
@@ -37,7 +37,7 @@
     compute: Callable[[Values], float]
     limit: float | None = None
 
-    def fits(self, values: Values) -> bool:
+    def meets_limit(self, values: Values) -> bool:
         """Return whether the line keeps its limit."""
         return self.limit is None or self.compute(values) <= self.limit
 
@@ -45,64 +45,72 @@
 def _control_state_mb(values: Values) -> float:
     return (
         target.INSTANCES * values["peer_state"]
-        + target.SERVERS * values["server_state"]
+        + target.BACKEND_SERVERS * values["server_state"]
         + target.WORKSPACES * (values["workspace_state"] + values["workspace_metrics"])
         + target.LIST_ENTRIES * values["list_state"]
     ) / 1e6
 
 
-def _duty_list_cpu(values: Values) -> float:
+def _reader_list_cpu_percent(values: Values) -> float:
     a_read_us = target.LIST_ENTRIES * values["list_cpu"]
     return a_read_us / target.LIST_READER_PERIOD_S / 1e4
 
 
-def _scrape_cpu(values: Values) -> float:
+def _scrape_cpu_percent(values: Values) -> float:
     return target.WORKSPACES * values["scrape_cpu"] / target.SCRAPE_PERIOD_S / 1e4
 
 
-def _control_cpu(values: Values) -> float:
-    return values["rest_cpu"] + values["membership_cpu"] / 1e4 + _scrape_cpu(values)
+def _control_cpu_percent(values: Values) -> float:
+    return (
+        values["rest_cpu"]
+        + values["membership_cpu"] / 1e4
+        + _scrape_cpu_percent(values)
+    )
 
 
-def _heartbeat_bytes(values: Values) -> float:
+def _membership_bytes_per_s(values: Values) -> float:
     digests = values["membership_messages"] * target.HEARTBEAT_DIGEST_BYTES
     return values["membership_bytes"] + digests
 
 
-def _duty_list_bytes(values: Values) -> float:
+def _reader_list_bytes_per_s(values: Values) -> float:
     a_read = target.LIST_ENTRIES * values["list_bytes"]
     return a_read / target.LIST_READER_PERIOD_S
 
 
-def _mean_list_bytes(values: Values) -> float:
-    on_duty = _duty_list_bytes(values) * target.LIST_READERS / target.INSTANCES
+def _mean_list_bytes_per_s(values: Values) -> float:
+    on_duty = _reader_list_bytes_per_s(values) * target.LIST_READERS / target.INSTANCES
     a_read = target.LIST_ENTRIES * values["list_bytes"]
     return on_duty + a_read / target.LIST_REPAIR_PERIOD_S
 
 
-def _configuration_bytes(values: Values) -> float:
-    return values["declaration_bytes"] * target.CHANGES_A_DAY / target.DAY_S
+def _configuration_bytes_per_s(values: Values) -> float:
+    return (
+        values["declaration_bytes"]
+        * target.CONFIGURATION_CHANGES_PER_DAY
+        / target.DAY_S
+    )
 
 
-def _table_reads(values: Values) -> float:
-    configuration = target.CONFIGURATION_READS_PER_S * values["rest_reads"]
+def _table_reads_per_s(values: Values) -> float:
+    configuration = target.CLUSTER_CONFIGURATION_READS_PER_S * values["rest_reads"]
     return configuration + target.MODELS * values["pool_reads"]
 
 
-def _claim_writes(_: Values) -> float:
-    return target.REQUESTS_PER_S * target.NOT_REPEATABLE_SHARE
+def _claim_writes_per_s(_: Values) -> float:
+    return target.REQUESTS_PER_S * target.NOT_REPEATABLE_REQUEST_SHARE
 
 
-LINES = (
-    Line(
+CAPACITY_LINES = (
+    CapacityLine(
         "entry and routing",
         "backend servers",
         "730 × backend server",
         "MB",
-        lambda v: target.SERVERS * v["server_state"] / 1e6,
+        lambda v: target.BACKEND_SERVERS * v["server_state"] / 1e6,
         target.CONTROL_MEMORY_MB,
     ),
-    Line(
+    CapacityLine(
         "entry and routing",
         "workspaces, with metrics",
         "920 × (state + metrics)",
@@ -112,67 +120,70 @@
         ),
         target.CONTROL_MEMORY_MB,
     ),
-    Line(
+    CapacityLine(
         "entry and routing",
         "routing decisions",
         "18.2 requests/s × decision",
         "% of a core",
-        lambda v: target.REQUESTS_A_NODE * v["routing_cpu"] / 1e4,
-        target.CORE_PERCENT,
+        lambda v: target.REQUESTS_PER_S_PER_NODE * v["routing_cpu"] / 1e4,
+        target.WHOLE_CORE_PERCENT,
     ),
-    Line(
+    CapacityLine(
         "entry and routing",
         "stall of one metrics scrape",
         "920 × scrape of a workspace",
         "ms",
         lambda v: target.WORKSPACES * v["scrape_cpu"] / 1e3,
-        1e3 * target.GAP_S,
+        1e3 * target.TOKEN_GAP_S,
     ),
-    Line(
+    CapacityLine(
         "relaying",
         "tokens",
         "3,846 tokens/s × token",
         "% of a core",
-        lambda v: target.TOKENS_A_NODE * v["token_cpu"] / 1e4,
-        target.CORE_PERCENT,
+        lambda v: target.TOKENS_PER_S_PER_NODE * v["token_cpu"] / 1e4,
+        target.WHOLE_CORE_PERCENT,
     ),
-    Line(
+    CapacityLine(
         "relaying",
         "tokens and requests",
         "tokens + 18.2 requests/s × request",
         "% of a core",
         lambda v: (
             (
-                target.TOKENS_A_NODE * v["token_cpu"]
-                + target.REQUESTS_A_NODE * v["request_cpu"]
+                target.TOKENS_PER_S_PER_NODE * v["token_cpu"]
+                + target.REQUESTS_PER_S_PER_NODE * v["request_cpu"]
             )
             / 1e4
         ),
-        target.CORE_PERCENT,
+        target.WHOLE_CORE_PERCENT,
     ),
-    Line(
+    CapacityLine(
         "relaying",
         "open streams",
         "238 × (stream + held tokens × token)",
         "MB",
         lambda v: (
-            target.STREAMS_A_NODE
-            * (v["stream_memory"] + target.HELD_TOKENS * v["token_memory"])
+            target.OPEN_STREAMS_PER_NODE
+            * (
+                v["stream_memory"]
+                + target.MEAN_KEPT_TOKENS_PER_STREAM * v["token_memory"]
+            )
             / 1e6
         ),
     ),
-    Line(
+    CapacityLine(
         "relaying",
         "kept answers",
         "512 × (run + 211 × token)",
         "MB",
         lambda v: (
             target.KEPT_RUNS
-            * (v["key_memory"] + target.MEAN_TOKENS * v["token_memory"])
+            * (v["key_memory"] + target.MEAN_ANSWER_TOKENS * v["token_memory"])
             / 1e6
         ),
     ),
-    Line(
+    CapacityLine(
         "membership",
         "peers",
         "390 × peer",
@@ -180,7 +191,7 @@
         lambda v: target.INSTANCES * v["peer_state"] / 1e6,
         target.CONTROL_MEMORY_MB,
     ),
-    Line(
+    CapacityLine(
         "membership",
         "decisions",
         "at 390",
@@ -188,22 +199,22 @@
         lambda v: v["membership_cpu"] / 1e4,
         target.CONTROL_CPU_PERCENT,
     ),
-    Line(
+    CapacityLine(
         "membership",
         "messages with full digests",
         "at 390 + messages × 64",
         "bytes/s",
-        _heartbeat_bytes,
+        _membership_bytes_per_s,
         target.CONTROL_BYTES_PER_S,
     ),
-    Line(
+    CapacityLine(
         "membership",
         "a lost data centre is off all entry lists",
         "at 56 of 390",
         "s",
         lambda v: v["loss_seconds"],
     ),
-    Line(
+    CapacityLine(
         "membership",
         "busiest quarter second of that loss",
         "at 56 of 390",
@@ -211,7 +222,7 @@
         lambda v: v["loss_bytes"],
         target.CONTROL_BYTES_PER_S,
     ),
-    Line(
+    CapacityLine(
         "configuration",
         "row of the configuration",
         "at 920",
@@ -219,39 +230,39 @@
         lambda v: v["declaration_bytes"],
         target.TABLE_VALUE_BYTES,
     ),
-    Line(
+    CapacityLine(
         "configuration",
         "changes received",
         "520 a day × row",
         "bytes/s",
-        _configuration_bytes,
+        _configuration_bytes_per_s,
         target.CONTROL_BYTES_PER_S,
     ),
-    Line(
+    CapacityLine(
         "platform client",
         "list received, on average",
         "1,120 entries, 2 readers each 2.6 s, all each 780 s",
         "bytes/s",
-        _mean_list_bytes,
+        _mean_list_bytes_per_s,
         target.CONTROL_BYTES_PER_S,
     ),
-    Line(
+    CapacityLine(
         "platform client",
         "list received, a reader in its minute",
         "1,120 entries every 2.6 s",
         "bytes/s",
-        _duty_list_bytes,
+        _reader_list_bytes_per_s,
         target.CONTROL_BYTES_PER_S,
     ),
-    Line(
+    CapacityLine(
         "platform client",
         "list read, a reader in its minute",
         "1,120 entries every 2.6 s",
         "% of a core",
-        _duty_list_cpu,
+        _reader_list_cpu_percent,
         target.CONTROL_CPU_PERCENT,
     ),
-    Line(
+    CapacityLine(
         "platform client",
         "state of the list",
         "1,120 × entry",
@@ -259,7 +270,7 @@
         lambda v: target.LIST_ENTRIES * v["list_state"] / 1e6,
         target.CONTROL_MEMORY_MB,
     ),
-    Line(
+    CapacityLine(
         "lease holder and placement",
         "table reads",
         "10 pools",
@@ -267,7 +278,7 @@
         lambda v: target.MODELS * v["pool_reads"],
         target.TABLE_READS_PER_S,
     ),
-    Line(
+    CapacityLine(
         "lease holder and placement",
         "table writes",
         "10 pools",
@@ -275,38 +286,38 @@
         lambda v: target.MODELS * v["pool_writes"],
         target.TABLE_WRITES_PER_S,
     ),
-    Line(
+    CapacityLine(
         "table",
         "reads of all nodes",
         "100 × reads at rest + 10 pools",
         "reads/s",
-        _table_reads,
+        _table_reads_per_s,
         target.TABLE_READS_PER_S,
     ),
-    Line(
+    CapacityLine(
         "table",
         "claims, one request in ten not repeatable",
         "710 requests/s, one write each",
         "writes/s",
-        _claim_writes,
+        _claim_writes_per_s,
         target.TABLE_WRITES_PER_S,
     ),
-    Line(
+    CapacityLine(
         "list of instances",
         "bytes served to all nodes",
         "390 × list received on average",
         "MB/s",
-        lambda v: target.INSTANCES * _mean_list_bytes(v) / 1e6,
+        lambda v: target.INSTANCES * _mean_list_bytes_per_s(v) / 1e6,
     ),
-    Line(
+    CapacityLine(
         "a node, control",
         "processor time",
         "rest + membership at 390 + a scrape every 15 s",
         "% of a core",
-        _control_cpu,
+        _control_cpu_percent,
         target.CONTROL_CPU_PERCENT,
     ),
-    Line(
+    CapacityLine(
         "a node, control",
         "state alone",
         "peers + backend servers + workspaces + list",
@@ -314,7 +325,7 @@
         _control_state_mb,
         target.CONTROL_MEMORY_MB,
     ),
-    Line(
+    CapacityLine(
         "a node, control",
         "state and a node at rest above its libraries",
         "state + (at rest − libraries)",
@@ -322,7 +333,7 @@
         lambda v: _control_state_mb(v) + v["node_at_rest"] - v["libraries"],
         target.CONTROL_MEMORY_MB,
     ),
-    Line(
+    CapacityLine(
         "a node, control",
         "state and the whole process at rest",
         "state + at rest",
@@ -330,37 +341,41 @@
         lambda v: _control_state_mb(v) + v["node_at_rest"],
         target.CONTROL_MEMORY_MB,
     ),
-    Line(
+    CapacityLine(
         "a node, control",
         "bytes sent and received, on average",
         "2 × messages with full digests + list + changes",
         "bytes/s",
         lambda v: (
-            2 * _heartbeat_bytes(v) + _mean_list_bytes(v) + _configuration_bytes(v)
+            2 * _membership_bytes_per_s(v)
+            + _mean_list_bytes_per_s(v)
+            + _configuration_bytes_per_s(v)
         ),
         target.CONTROL_BYTES_PER_S,
     ),
 )
 
 
-def read_values(measurements: Mapping[str, Measurement]) -> dict[str, float]:
+def extract_values(measurements: Mapping[str, Measurement]) -> dict[str, float]:
     """Return the value of each row."""
     return {key: item.value for key, item in measurements.items()}
 
 
 def render_capacity(measurements: Mapping[str, Measurement]) -> str:
     """Return the capacity table."""
-    values = read_values(measurements)
-    return render_table(CAPACITY_HEADER, [_render(line, values) for line in LINES])
+    values = extract_values(measurements)
+    return render_table(
+        CAPACITY_HEADER, [_render(line, values) for line in CAPACITY_LINES]
+    )
 
 
-def _render(line: Line, values: Values) -> tuple[str, ...]:
+def _render(line: CapacityLine, values: Values) -> tuple[str, ...]:
     value = line.compute(values)
     limit, margin, verdict = "", "", ""
     if line.limit is not None:
         limit = format_figure(line.limit)
         margin = f"{format_figure(float(f'{line.limit / value:.2g}'))}×"
-        verdict = "yes" if line.fits(values) else "**no**"
+        verdict = "yes" if line.meets_limit(values) else "**no**"
     return (
         line.role,
         line.name,
--- a/packages/standins/src/ebonyhaven_standins/slopes/_fits.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_fits.py
@@ -42,10 +42,10 @@
     residual = sum((value - intercept - slope * size) ** 2 for size, value in points)
     freedom = max(1, len(points) - 2)
     error = math.sqrt(residual / freedom / spread)
-    return Fit(slope, intercept, _to_percent(error, slope))
+    return Fit(slope, intercept, _compute_error_percent(error, slope))
 
 
-def average(points: Sequence[Point]) -> Fit:
+def fit_mean(points: Sequence[Point]) -> Fit:
     """Return the mean of repeated values as intercept, with slope 0.
 
     Parameters
@@ -60,8 +60,8 @@
     """
     values = [point.value for point in points]
     mean = statistics.fmean(values)
-    return Fit(0.0, mean, _to_percent((max(values) - min(values)) / 2, mean))
+    return Fit(0.0, mean, _compute_error_percent((max(values) - min(values)) / 2, mean))
 
 
-def _to_percent(error: float, value: float) -> float:
+def _compute_error_percent(error: float, value: float) -> float:
     return 100.0 * error / abs(value) if value else 0.0
--- a/packages/standins/src/ebonyhaven_standins/slopes/_rest.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_idle_nodes.py
@@ -11,15 +11,18 @@
 from ebonyhaven_standins.cluster import Cluster
 from ebonyhaven_standins.scenario import Deployment, ServerPlan, start_deployment
 from ebonyhaven_standins.slopes._fits import Point
-from ebonyhaven_standins.slopes._resident import read_processor_s, read_resident_bytes
-from ebonyhaven_standins.slopes._rows import Measurement, make_measurement
+from ebonyhaven_standins.slopes._process_usage import (
+    read_processor_s,
+    read_resident_bytes,
+)
+from ebonyhaven_standins.slopes._quantities import Measurement, make_measurement
 
 INSTANCE_COUNTS = (3, 6, 9)
 POOL_COUNTS = (1, 5, 10)
 POOL_INSTANCES = 3
 SETTLING_S = 8.0
 WINDOW_S = 16.0
-_SENT = re.compile(
+_SENT_BYTES_PATTERN = re.compile(
     r'^ebonyhaven_control_bytes_total\{direction="sent"\} (\S+)$', re.MULTILINE
 )
 
@@ -40,11 +43,11 @@
 def read_sent_bytes(address: str) -> float:
     """Return the control bytes that a node has sent, by its metrics."""
     with urllib.request.urlopen(f"http://{address}/metrics", timeout=10) as answer:
-        found = _SENT.search(answer.read().decode())
+        found = _SENT_BYTES_PATTERN.search(answer.read().decode())
     return float(found.group(1)) if found else 0.0
 
 
-class _Sample:
+class _UsageSample:
     """Counters of all nodes and the platform at one time."""
 
     def __init__(self, cluster: Cluster, names: list[str]) -> None:
@@ -57,14 +60,14 @@
         self.time = time.monotonic()
 
 
-def measure_rest() -> list[Measurement]:
+def measure_idle_nodes() -> list[Measurement]:
     """Measure memory, processor time, table calls and control bytes at rest."""
     points: dict[str, list[Point]] = collections.defaultdict(list)
     for count in INSTANCE_COUNTS:
-        first, second = _watch(count, 1)
+        first, second = _sample_window(count, 1)
         _add_points(points, count, first, second)
     for pools in POOL_COUNTS:
-        first, second = _watch(POOL_INSTANCES, pools)
+        first, second = _sample_window(POOL_INSTANCES, pools)
         window_s = second.time - first.time
         reads = (second.reads - first.reads) / window_s
         writes = (second.writes - first.writes) / window_s
@@ -73,7 +76,7 @@
     return [make_measurement(key, values) for key, values in points.items()]
 
 
-def _watch(instances: int, pools: int) -> tuple[_Sample, _Sample]:
+def _sample_window(instances: int, pools: int) -> tuple[_UsageSample, _UsageSample]:
     deployment = make_deployment(instances)
     names = list(deployment.instances)
     with Cluster() as cluster:
@@ -88,13 +91,16 @@
             }
         cluster.declare(declaration)
         time.sleep(SETTLING_S)
-        first = _Sample(cluster, names)
+        first = _UsageSample(cluster, names)
         time.sleep(WINDOW_S)
-        return first, _Sample(cluster, names)
+        return first, _UsageSample(cluster, names)
 
 
 def _add_points(
-    points: dict[str, list[Point]], count: int, first: _Sample, second: _Sample
+    points: dict[str, list[Point]],
+    count: int,
+    first: _UsageSample,
+    second: _UsageSample,
 ) -> None:
     window_s = second.time - first.time
     resident = statistics.fmean(second.resident) / 1e6
--- a/packages/standins/src/ebonyhaven_standins/slopes/_keeping.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_kept_runs.py
@@ -5,13 +5,13 @@
 import functools
 
 from ebonyhaven_standins.slopes._fits import Point
-from ebonyhaven_standins.slopes._memory import count_bytes
-from ebonyhaven_standins.slopes._rows import Measurement, make_measurement
+from ebonyhaven_standins.slopes._memory import measure_allocated_bytes
+from ebonyhaven_standins.slopes._quantities import Measurement, make_measurement
 
 KEY_COUNTS = (50, 100, 200, 400)
 TOKEN_COUNTS = (1000, 2000, 4000, 8000)
 PROMPT_CHARACTERS = 400
-TOKENS_A_RUN = 0
+TOKENS_PER_RUN = 0
 
 
 def _build_run(number: int, tokens: int) -> object:
@@ -43,14 +43,14 @@
 
     registry = RunRegistry()
     for number in range(count):
-        registry.add(_build_run(number, TOKENS_A_RUN))
+        registry.add(_build_run(number, TOKENS_PER_RUN))
     return registry
 
 
 def measure_kept_runs() -> list[Measurement]:
     """Measure the bytes of a kept run without its tokens, and of a token."""
-    keys: list[Point] = count_bytes(build_registry, KEY_COUNTS)
-    tokens = count_bytes(functools.partial(_build_run, 1), TOKEN_COUNTS)
+    keys: list[Point] = measure_allocated_bytes(build_registry, KEY_COUNTS)
+    tokens = measure_allocated_bytes(functools.partial(_build_run, 1), TOKEN_COUNTS)
     return [
         make_measurement("key_memory", keys),
         make_measurement("token_memory", tokens),
--- a/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
@@ -23,12 +23,12 @@
 
 from ebonyhaven_standins.slopes._fits import Point
 from ebonyhaven_standins.slopes._memory import make_member
-from ebonyhaven_standins.slopes._rows import Measurement, make_measurement
+from ebonyhaven_standins.slopes._quantities import Measurement, make_measurement
 
 INSTANCE_COUNTS = (9, 50, 150, 390)
 SETTLING_S = 10.0
 WINDOW_S = 10.0
-DELAY_S = 0.002
+NETWORK_DELAY_S = 0.002
 TICK = "tick"
 FLUSH = "flush"
 
@@ -41,7 +41,7 @@
     processor_s: float
 
 
-class Group:
+class MembershipSimulation:
     """Membership views of many instances that exchange messages in memory.
 
     Parameters
@@ -55,7 +55,7 @@
         rng = random.Random(seed)
         self.now = 1000.0
         self.stopped: set[str] = set()
-        self.cut: set[frozenset[str]] = set()
+        self.partitioned_regions: set[frozenset[str]] = set()
         self.messages = self.bytes = 0
         self.processor_s = 0.0
         self._events: list[tuple[float, int, str, Any]] = []
@@ -98,7 +98,9 @@
             self.processor_s - before[2],
         )
 
-    def count_views(self, subjects: set[str], states: Container[MemberState]) -> int:
+    def count_diverging_views(
+        self, subjects: set[str], states: Container[MemberState]
+    ) -> int:
         """Return how many running views hold a subject in none of some states."""
         return sum(
             any(
@@ -141,16 +143,16 @@
         self._schedule(self._flush_at[name], name, FLUSH)
 
     def _send(self, view: Membership, envelope: Envelope) -> None:
-        target = envelope.name or self._find(envelope.address)
+        target = envelope.name or self._find_name(envelope.address)
         self.messages += 1
-        self.bytes += measure_envelope(view, envelope)
+        self.bytes += count_wire_bytes(view, envelope)
         regions = frozenset({view.own.region, self.members[target].region})
-        if regions in self.cut:
+        if regions in self.partitioned_regions:
             return
         delivery = (view.own.name, view.own.incarnation, envelope.message)
-        self._schedule(self.now + DELAY_S, target, delivery)
+        self._schedule(self.now + NETWORK_DELAY_S, target, delivery)
 
-    def _find(self, address: str) -> str:
+    def _find_name(self, address: str) -> str:
         return next(
             name
             for name, member in self.members.items()
@@ -162,7 +164,7 @@
         heapq.heappush(self._events, (at, self._sequence, name, delivery))
 
 
-def measure_envelope(view: Membership, envelope: Envelope) -> int:
+def count_wire_bytes(view: Membership, envelope: Envelope) -> int:
     """Return the bytes of a message on the wire."""
     from ebonyhaven_node._frames import NNG_HEADER_BYTES, Frame, encode_frame
     from ebonyhaven_node._membership_codec import (
@@ -185,7 +187,7 @@
     """Measure messages, bytes and processor time of settled instances."""
     points: dict[str, list[Point]] = {"messages": [], "bytes": [], "cpu": []}
     for count in INSTANCE_COUNTS:
-        group = Group(count)
+        group = MembershipSimulation(count)
         group.run(SETTLING_S)
         traffic = group.run(WINDOW_S)
         share = 1.0 / (count * WINDOW_S)
--- a/packages/standins/src/ebonyhaven_standins/slopes/_memory.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_memory.py
@@ -20,17 +20,19 @@
 from prometheus_client import CollectorRegistry
 
 from ebonyhaven_standins.slopes._fits import Point
-from ebonyhaven_standins.slopes._rows import Measurement, make_measurement
+from ebonyhaven_standins.slopes._quantities import Measurement, make_measurement
 
 PEER_COUNTS = (50, 100, 200, 390)
 SERVER_COUNTS = (100, 200, 400, 730)
 WORKSPACE_COUNTS = (100, 230, 460, 920)
-MODELS = 10
-CLASSES = ("look-up", "analysis")
+MODEL_COUNT = 10
+REQUEST_CLASSES = ("look-up", "analysis")
 NOW_S = 1000.0
 
 
-def count_bytes(build: Callable[[int], object], counts: Iterable[int]) -> list[Point]:
+def measure_allocated_bytes(
+    build: Callable[[int], object], counts: Iterable[int]
+) -> list[Point]:
     """Return the traced bytes of what a function builds at each count.
 
     Parameters
@@ -77,7 +79,7 @@
         address=f"10.2.{number // 250}.{number % 250}:9000",
         data_centre=f"data-centre-{number % 7}",
         region=f"region-{number % 7 // 4}",
-        models=frozenset({f"model-{number % MODELS}"}),
+        models=frozenset({f"model-{number % MODEL_COUNT}"}),
     )
 
 
@@ -111,7 +113,7 @@
     for number in range(count):
         name = f"workspace-{number:04d}"
         declared[name] = Workspace(name=name, key_sha256=f"{number:064x}")
-        for class_name in CLASSES:
+        for class_name in REQUEST_CLASSES:
             ledger.charge((class_name, name), 100.0, NOW_S)
     return [ledger, declared]
 
@@ -130,7 +132,7 @@
     from ebonyhaven_node._metrics import observe
 
     for number in range(count):
-        for class_name in CLASSES:
+        for class_name in REQUEST_CLASSES:
             name = f"workspace-{number:04d}"
             histograms = metrics.bind(workspace=name, class_name=class_name)
             observe(histograms.first_token, 0.3)
@@ -140,22 +142,26 @@
 
 def measure_peer_state() -> list[Measurement]:
     """Measure the bytes of a peer in the membership view."""
-    return [make_measurement("peer_state", count_bytes(build_membership, PEER_COUNTS))]
+    return [
+        make_measurement(
+            "peer_state", measure_allocated_bytes(build_membership, PEER_COUNTS)
+        )
+    ]
 
 
 def measure_server_state() -> list[Measurement]:
     """Measure the bytes of a backend server in the server table."""
-    points = count_bytes(build_server_table, SERVER_COUNTS)
+    points = measure_allocated_bytes(build_server_table, SERVER_COUNTS)
     return [make_measurement("server_state", points)]
 
 
 def measure_workspace_state() -> list[Measurement]:
     """Measure the bytes of a workspace in declaration and ledger."""
-    points = count_bytes(build_workspaces, WORKSPACE_COUNTS)
+    points = measure_allocated_bytes(build_workspaces, WORKSPACE_COUNTS)
     return [make_measurement("workspace_state", points)]
 
 
 def measure_workspace_metrics() -> list[Measurement]:
     """Measure the bytes of a workspace in the relay metrics."""
-    points = count_bytes(build_metrics, WORKSPACE_COUNTS)
+    points = measure_allocated_bytes(build_metrics, WORKSPACE_COUNTS)
     return [make_measurement("workspace_metrics", points)]
--- a/packages/standins/src/ebonyhaven_standins/slopes/_platform_reads.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_platform_reads.py
@@ -13,11 +13,11 @@
 from ebonyhaven_standins.slopes._memory import (
     NOW_S,
     WORKSPACE_COUNTS,
-    count_bytes,
     make_member,
     make_server,
+    measure_allocated_bytes,
 )
-from ebonyhaven_standins.slopes._rows import Measurement, make_measurement
+from ebonyhaven_standins.slopes._quantities import Measurement, make_measurement
 
 ENTRY_COUNTS = (140, 280, 560, 1120)
 REPETITIONS = 20
@@ -89,7 +89,9 @@
     return [
         make_measurement("list_bytes", sizes),
         make_measurement("list_cpu", times),
-        make_measurement("list_state", count_bytes(build_listing, ENTRY_COUNTS)),
+        make_measurement(
+            "list_state", measure_allocated_bytes(build_listing, ENTRY_COUNTS)
+        ),
     ]
 
 
--- a/packages/standins/src/ebonyhaven_standins/slopes/_resident.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_process_usage.py
@@ -8,12 +8,12 @@
 import sys
 
 from ebonyhaven_standins.slopes._fits import Point
-from ebonyhaven_standins.slopes._rows import Measurement, make_measurement
+from ebonyhaven_standins.slopes._quantities import Measurement, make_measurement
 
 REPETITIONS = 3
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-_REPORT = (
+_PRINT_RESIDENT_BYTES = (
     "import os; pages = int(open('/proc/self/statm').read().split()[1]); "
     "print(pages * os.sysconf('SC_PAGE_SIZE'))"
 )
@@ -49,7 +49,7 @@
 def _measure_script(script: str) -> list[Point]:
     points = []
     for repetition in range(REPETITIONS):
-        command = [sys.executable, "-c", script + _REPORT]
+        command = [sys.executable, "-c", script + _PRINT_RESIDENT_BYTES]
         output = subprocess.run(command, check=True, capture_output=True, text=True)
         points.append(Point(repetition, int(output.stdout) / 1e6))
     return points
--- a/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
@@ -25,13 +25,13 @@
     make_server,
     observe_workspaces,
 )
-from ebonyhaven_standins.slopes._rows import Measurement, make_measurement
+from ebonyhaven_standins.slopes._quantities import Measurement, make_measurement
 
 MESSAGE_COUNTS = (500, 1000, 2000, 4000)
 DECISION_COUNTS = (500, 1000, 2000, 4000)
-SERVERS = 730
-MESSAGES_A_TURN = 4
-PAYLOAD = [0, 1234567890, {}]
+BACKEND_SERVERS = 730
+MESSAGES_PER_ITERATION = 4
+HEARTBEAT_PAYLOAD = [0, 1234567890, {}]
 
 
 def measure_messages() -> list[Measurement]:
@@ -54,14 +54,16 @@
             for address in addresses
         )
         receiver.subscribe(FrameKind.HEARTBEAT, received.append)
-        frame = Frame(FrameKind.HEARTBEAT, "instance-0001", 1_796_330_000_000, PAYLOAD)
+        frame = Frame(
+            FrameKind.HEARTBEAT, "instance-0001", 1_796_330_000_000, HEARTBEAT_PAYLOAD
+        )
         for count in (100, *MESSAGE_COUNTS):
             received.clear()
             before = time.process_time()
-            for sent in range(0, count, MESSAGES_A_TURN):
-                for _ in range(MESSAGES_A_TURN):
+            for sent in range(0, count, MESSAGES_PER_ITERATION):
+                for _ in range(MESSAGES_PER_ITERATION):
                     sender.send(addresses[1], frame)
-                while len(received) < sent + MESSAGES_A_TURN:
+                while len(received) < sent + MESSAGES_PER_ITERATION:
                     await task.deferLater(reactor, 0)
             points.append(Point(count, 1e6 * (time.process_time() - before)))
         sender.close()
@@ -91,15 +93,15 @@
             now=NOW_S,
         )
         table = scheduler.dispatcher.table
-        table.replace([make_server(number) for number in range(SERVERS)])
+        table.replace([make_server(number) for number in range(BACKEND_SERVERS)])
         before = time.process_time()
         for number in range(count):
-            _decide(scheduler, number)
+            _schedule_request(scheduler, number)
         points.append(Point(count, 1e6 * (time.process_time() - before)))
     return [make_measurement("routing_cpu", points[1:])]
 
 
-def _decide(scheduler: Any, number: int) -> None:
+def _schedule_request(scheduler: Any, number: int) -> None:
     now = NOW_S + number / 20.0
     item = WorkItem(
         item_id=str(number),
--- a/packages/standins/src/ebonyhaven_standins/slopes/_rows.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_quantities.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from ebonyhaven_standins.slopes._fits import Fit, Point, average, fit_line
+from ebonyhaven_standins.slopes._fits import Fit, Point, fit_line, fit_mean
 
 
 class Reading(enum.Enum):
@@ -18,7 +18,7 @@
     LAST = "last point"
 
 
-class Row(NamedTuple):
+class Quantity(NamedTuple):
     """A measured quantity.
 
     ``size_unit`` says what the sizes of the points count.
@@ -34,218 +34,226 @@
 class Measurement(NamedTuple):
     """Points of a row and their fit."""
 
-    row: Row
+    quantity: Quantity
     points: list[Point]
     fit: Fit
 
     @property
     def value(self) -> float:
         """The row's value in its unit."""
-        if self.row.reading is Reading.SLOPE:
+        if self.quantity.reading is Reading.SLOPE:
             return self.fit.slope
-        if self.row.reading is Reading.LAST:
+        if self.quantity.reading is Reading.LAST:
             return self.points[-1].value
         return self.fit.intercept
 
 
-def _row(key: str, name: str, unit: str, size_unit: str, reading: Reading) -> Row:
-    return Row(key, name, unit, size_unit, reading)
+def _make_quantity(
+    key: str, name: str, unit: str, size_unit: str, reading: Reading
+) -> Quantity:
+    return Quantity(key, name, unit, size_unit, reading)
 
 
-ROWS = (
-    _row(
+QUANTITIES = (
+    _make_quantity(
         "bare_interpreter",
         "resident memory of a bare interpreter",
         "MB",
         "run",
         Reading.MEAN,
     ),
-    _row(
+    _make_quantity(
         "libraries",
         "resident memory with the node's modules and libraries imported",
         "MB",
         "run",
         Reading.MEAN,
     ),
-    _row(
+    _make_quantity(
         "node_at_rest",
         "resident memory of a node at rest",
         "MB",
         "run",
         Reading.MEAN,
     ),
-    _row("peer_state", "control state of a peer", "bytes", "instances", Reading.SLOPE),
-    _row(
+    _make_quantity(
+        "peer_state", "control state of a peer", "bytes", "instances", Reading.SLOPE
+    ),
+    _make_quantity(
         "server_state",
         "control state of a backend server",
         "bytes",
         "backend servers",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "workspace_state",
         "control state of a workspace",
         "bytes",
         "workspaces",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "workspace_metrics",
         "metrics of a workspace",
         "bytes",
         "workspaces",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "stream_memory",
         "resident memory of an open stream",
         "bytes",
         "streams",
         Reading.SLOPE,
     ),
-    _row("key_memory", "a finished run that is kept", "bytes", "keys", Reading.SLOPE),
-    _row("token_memory", "a kept token of a run", "bytes", "tokens", Reading.SLOPE),
-    _row(
+    _make_quantity(
+        "key_memory", "a finished run that is kept", "bytes", "keys", Reading.SLOPE
+    ),
+    _make_quantity(
+        "token_memory", "a kept token of a run", "bytes", "tokens", Reading.SLOPE
+    ),
+    _make_quantity(
         "token_cpu",
         "processor time of a relayed token",
         "µs",
         "tokens",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "request_cpu",
         "processor time of a request without its tokens",
         "µs",
         "tokens",
         Reading.INTERCEPT,
     ),
-    _row(
+    _make_quantity(
         "message_cpu",
         "processor time of a control message, both ends",
         "µs",
         "messages",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "routing_cpu",
         "processor time of a routing decision",
         "µs",
         "decisions",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "scrape_cpu",
         "processor time of a metrics scrape, for a workspace",
         "µs",
         "workspaces",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "membership_messages",
         "membership messages a node sends in a second",
         "messages/s",
         "instances",
         Reading.LAST,
     ),
-    _row(
+    _make_quantity(
         "membership_bytes",
         "membership bytes a node sends in a second",
         "bytes/s",
         "instances",
         Reading.LAST,
     ),
-    _row(
+    _make_quantity(
         "membership_cpu",
         "processor time of membership decisions in a second",
         "µs",
         "instances",
         Reading.LAST,
     ),
-    _row(
+    _make_quantity(
         "rest_bytes",
         "control bytes a node at rest sends in a second",
         "bytes/s",
         "instances",
         Reading.LAST,
     ),
-    _row(
+    _make_quantity(
         "rest_cpu",
         "processor time of a node at rest",
         "% of a core",
         "instances",
         Reading.LAST,
     ),
-    _row(
+    _make_quantity(
         "rest_reads",
         "table reads of a node at rest",
         "reads/s",
         "instances",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "pool_reads",
         "table reads for a pool's lease, all nodes together",
         "reads/s",
         "pools",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "pool_writes",
         "table writes for a pool's lease, all nodes together",
         "writes/s",
         "pools",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "list_bytes",
         "bytes of an entry in the platform's list",
         "bytes",
         "entries",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "list_cpu",
         "processor time of an entry when the list is read",
         "µs",
         "entries",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "list_state",
         "control state of an entry of the list",
         "bytes",
         "entries",
         Reading.SLOPE,
     ),
-    _row(
+    _make_quantity(
         "declaration_bytes",
         "bytes of the configuration's row",
         "bytes",
         "workspaces",
         Reading.LAST,
     ),
-    _row(
+    _make_quantity(
         "loss_seconds",
         "time until all hold lost instances as suspect",
         "s",
         "instances lost of 390",
         Reading.LAST,
     ),
-    _row(
+    _make_quantity(
         "loss_messages",
         "messages each instance sends until then",
         "messages",
         "instances lost of 390",
         Reading.LAST,
     ),
-    _row(
+    _make_quantity(
         "loss_bytes",
         "bytes each instance sends in the busiest quarter second of it",
         "bytes/s",
         "instances lost of 390",
         Reading.LAST,
     ),
-    _row(
+    _make_quantity(
         "heal_seconds",
         "time until all know all again after two regions were split for 30 s",
         "s",
@@ -253,7 +261,7 @@
         Reading.LAST,
     ),
 )
-ROWS_BY_KEY = {row.key: row for row in ROWS}
+QUANTITIES_BY_KEY = {row.key: row for row in QUANTITIES}
 
 
 def make_measurement(key: str, points: Sequence[Point]) -> Measurement:
@@ -270,6 +278,6 @@
     -------
     Measurement
     """
-    row = ROWS_BY_KEY[key]
-    fit = average(points) if row.reading is Reading.MEAN else fit_line(points)
+    row = QUANTITIES_BY_KEY[key]
+    fit = fit_mean(points) if row.reading is Reading.MEAN else fit_line(points)
     return Measurement(row, list(points), fit)
--- a/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
@@ -17,15 +17,18 @@
     start_deployment,
 )
 from ebonyhaven_standins.slopes._fits import Point
-from ebonyhaven_standins.slopes._resident import read_processor_s, read_resident_bytes
-from ebonyhaven_standins.slopes._rows import Measurement, make_measurement
+from ebonyhaven_standins.slopes._process_usage import (
+    read_processor_s,
+    read_resident_bytes,
+)
+from ebonyhaven_standins.slopes._quantities import Measurement, make_measurement
 
-STREAMS = 48
-ENGINES = 4
+STREAMS_PER_BATCH = 48
+ENGINE_COUNT = 4
 TOKEN_COUNTS = (25, 50, 100, 200)
 REPETITIONS = 2
-OPEN_STREAMS = (0, 32, 64, 96, 128)
-OPENING_DEADLINE_S = 30.0
+OPEN_STREAM_COUNTS = (0, 32, 64, 96, 128)
+OPENING_TIMEOUT_S = 30.0
 PROMPT_CHARACTERS = 400
 SLOW_STEP_MS = 50
 _NODE = "n1"
@@ -68,13 +71,13 @@
 
     async def run(reactor: Any) -> None:
         with Cluster() as cluster:
-            start_deployment(cluster, _make_deployment(ENGINES))
+            start_deployment(cluster, _make_deployment(ENGINE_COUNT))
             await _run_batch(reactor, cluster, TOKEN_COUNTS[0])
             for tokens in TOKEN_COUNTS * REPETITIONS:
                 used_s = await _run_batch(reactor, cluster, tokens)
-                points.append(Point(tokens, 1e6 * used_s / STREAMS))
+                points.append(Point(tokens, 1e6 * used_s / STREAMS_PER_BATCH))
 
-    _react(run)
+    _run_reactor(run)
     points.sort()
     request_points = list(points)
     return [
@@ -88,7 +91,7 @@
     caller = _make_caller(reactor, cluster)
     before = read_processor_s(process_id)
     number = random.getrandbits(32)
-    requests = [_make_request(number + i, tokens) for i in range(STREAMS)]
+    requests = [_make_request(number + i, tokens) for i in range(STREAMS_PER_BATCH)]
     records = await defer.gatherResults([caller.complete(item) for item in requests])
     used_s = read_processor_s(process_id) - before
     if any(record["outcome"] != "completed" for record in records):
@@ -104,30 +107,30 @@
 
     async def run(reactor: Any) -> None:
         with Cluster() as cluster:
-            start_deployment(cluster, _make_deployment(ENGINES, *options))
+            start_deployment(cluster, _make_deployment(ENGINE_COUNT, *options))
             process_id = cluster.child(_NODE).process_id
             caller = _make_caller(reactor, cluster)
             opened = 0
-            for count in OPEN_STREAMS:
+            for count in OPEN_STREAM_COUNTS:
                 for number in range(opened, count):
                     caller.complete(_make_request(number, 10_000))
                 opened = count
                 await _wait_for_streams(reactor, caller, count)
                 points.append(Point(count, read_resident_bytes(process_id)))
 
-    _react(run)
+    _run_reactor(run)
     return [make_measurement("stream_memory", points)]
 
 
 async def _wait_for_streams(reactor: Any, caller: Caller, count: int) -> None:
-    deadline = reactor.seconds() + OPENING_DEADLINE_S
+    deadline = reactor.seconds() + OPENING_TIMEOUT_S
     while sum(bool(record["tokens"]) for record in caller.open_records) < count:
         if reactor.seconds() > deadline:
             raise RuntimeError(f"{count} streams did not open in time")
         await task.deferLater(reactor, 0.1)
 
 
-def _react(run: Any) -> None:
+def _run_reactor(run: Any) -> None:
     try:
         task.react(lambda reactor: defer.Deferred.fromCoroutine(run(reactor)))
     except SystemExit as error:
--- a/packages/standins/src/ebonyhaven_standins/slopes/_tables.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_tables.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Mapping, Sequence
 
-from ebonyhaven_standins.slopes._rows import Measurement, Reading
+from ebonyhaven_standins.slopes._quantities import Measurement, Reading
 
 SLOPE_HEADER = ("quantity", "value", "unit", "by", "points", "error", "read as")
 
@@ -49,7 +49,7 @@
 
 
 def _render(measurement: Measurement) -> tuple[str, ...]:
-    row, fit = measurement.row, measurement.fit
+    row, fit = measurement.quantity, measurement.fit
     points = "; ".join(
         f"{format_figure(size)}: {format_figure(value)}"
         for size, value in measurement.points
--- a/tests/docs/test_capacity.py
+++ b/tests/docs/test_capacity.py
@@ -5,8 +5,8 @@
 import re
 
 from ebonyhaven_standins.slopes import (
-    LINES,
-    ROWS,
+    CAPACITY_LINES,
+    QUANTITIES,
     make_measurements,
     read_points,
     render_capacity,
@@ -37,13 +37,13 @@
 def test_the_page_has_the_rows_and_units_of_the_tool():
     rows = split_rows(read_table("slopes"))
     shown = [(row[0], row[2], row[3]) for row in rows]
-    assert shown == [(row.name, row.unit, row.size_unit) for row in ROWS]
+    assert shown == [(row.name, row.unit, row.size_unit) for row in QUANTITIES]
 
 
 def test_the_page_has_the_lines_and_units_of_the_tool():
     rows = split_rows(read_table("capacity"))
     shown = [(row[0], row[1], row[4]) for row in rows]
-    assert shown == [(line.role, line.name, line.unit) for line in LINES]
+    assert shown == [(line.role, line.name, line.unit) for line in CAPACITY_LINES]
 
 
 def test_the_figures_of_the_page_come_from_the_points():
@@ -57,5 +57,5 @@
     values = {
         key: item.value for key, item in make_measurements(read_points(POINTS)).items()
     }
-    assert len(misses) == sum(not line.fits(values) for line in LINES)
+    assert len(misses) == sum(not line.meets_limit(values) for line in CAPACITY_LINES)
     assert not misses or "## What does not fit yet" in PAGE.read_text()
--- a/tests/standins/test_resuming.py
+++ b/tests/standins/test_resuming.py
@@ -1,12 +1,12 @@
 from __future__ import annotations
 
-from ebonyhaven_standins.resuming import Way, play
+from ebonyhaven_standins.resuming import RecoveryStrategy, run_experiment
 
 LENGTH_S = 20.0  # three losses of a data centre
 
 
 def test_streams_with_copies_stay_on_time_through_losses_of_data_centres():
-    outcome = play(Way.COPY, 2.0, length_s=LENGTH_S)
+    outcome = run_experiment(RecoveryStrategy.COPY, 2.0, duration_s=LENGTH_S)
     assert outcome.streams > 25
     assert outcome.whole == 1
     assert outcome.in_time == 1
@@ -15,18 +15,18 @@
 
 
 def test_fresh_prompts_keep_streams_whole_and_make_them_late():
-    outcome = play(Way.PROMPT, 2.0, length_s=LENGTH_S)
+    outcome = run_experiment(RecoveryStrategy.PROMPT, 2.0, duration_s=LENGTH_S)
     assert outcome.whole == 1
     assert outcome.in_time < 1
     assert outcome.read_again_tokens > 0
 
 
 def test_restarts_cut_streams():
-    outcome = play(Way.RESTART, 2.0, length_s=LENGTH_S)
+    outcome = run_experiment(RecoveryStrategy.RESTART, 2.0, duration_s=LENGTH_S)
     assert outcome.in_time < 1
     assert outcome.moved_tokens == 0
 
 
 def test_experiment_repeats():
-    first = play(Way.COPY, 1.0, seed=3, length_s=6.0)
-    assert first == play(Way.COPY, 1.0, seed=3, length_s=6.0)
+    first = run_experiment(RecoveryStrategy.COPY, 1.0, seed=3, duration_s=6.0)
+    assert first == run_experiment(RecoveryStrategy.COPY, 1.0, seed=3, duration_s=6.0)
--- a/tests/standins/test_slopes.py
+++ b/tests/standins/test_slopes.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from ebonyhaven_standins.slopes import (
-    MEASURES,
-    ROWS,
+    BENCHMARKS,
+    QUANTITIES,
     Point,
-    _keeping,
+    _kept_runs,
     _losses,
     _membership,
     _memory,
     _platform_reads,
-    average,
     fit_line,
+    fit_mean,
     format_figure,
     replace_tables,
 )
@@ -28,7 +28,7 @@
 
 
 def test_repeated_values_give_mean_and_half_range():
-    fit = average([Point(0, 9.0), Point(1, 11.0)])
+    fit = fit_mean([Point(0, 9.0), Point(1, 11.0)])
     assert fit.intercept == 10.0
     assert fit.error_percent == 10.0
 
@@ -53,8 +53,8 @@
 
 
 def test_every_row_is_measured_once():
-    measured = [key for measure in MEASURES.values() for key in measure.keys]
-    assert sorted(measured) == sorted(row.key for row in ROWS)
+    measured = [key for measure in BENCHMARKS.values() for key in measure.keys]
+    assert sorted(measured) == sorted(row.key for row in QUANTITIES)
 
 
 def test_the_state_that_is_counted_can_be_built():
@@ -64,20 +64,20 @@
         _memory.build_workspaces,
         _memory.build_metrics,
         _platform_reads.build_listing,
-        _keeping.build_registry,
+        _kept_runs.build_registry,
     )
     for build in builders:
-        points = _memory.count_bytes(build, (2, 8))
+        points = _memory.measure_allocated_bytes(build, (2, 8))
         assert points[1].value > points[0].value > 0, build
 
 
 def test_a_small_group_learns_of_a_loss():
-    group = _membership.Group(9)
+    group = _membership.MembershipSimulation(9)
     group.run(2.0)
     name = next(iter(group.members))
     group.stopped.add(name)
     for _ in range(20):
         group.run(1.0)
-        if not group.count_views({name}, _losses.GONE):
+        if not group.count_diverging_views({name}, _losses.FAILED_STATES):
             return
     raise AssertionError("the loss was not noticed")
