--- a/packages/standins/src/ebonyhaven_standins/resuming/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/__init__.py
@@ -1,4 +1,4 @@
-"""Experiment: streams through the loss of whole data centres, in simulated time."""
+"""Experiment on stream recovery after data centre losses, in simulated time."""
 
 from ebonyhaven_standins.resuming._experiment import (
     ExperimentResult,
--- a/packages/standins/src/ebonyhaven_standins/resuming/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/__main__.py
@@ -1,4 +1,4 @@
-"""Plays each way at several loads and writes the results."""
+"""Runs the experiment for each strategy and arrival rate and writes the results."""
 
 from __future__ import annotations
 
@@ -20,30 +20,31 @@
 
 
 def main() -> None:
-    """Print one line a run and write all of them as JSON."""
+    """Print one JSON line per run and write all results as JSON and as a plot."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
-    outcomes: list[ExperimentResult] = []
-    for per_s in STREAM_ARRIVALS_PER_S:
-        for way in RecoveryStrategy:
-            outcome = run_experiment(way, per_s)
-            outcomes.append(outcome)
-            print(json.dumps(outcome._asdict()), flush=True)
+    results: list[ExperimentResult] = []
+    for streams_per_s in STREAM_ARRIVALS_PER_S:
+        for strategy in RecoveryStrategy:
+            result = run_experiment(strategy, streams_per_s)
+            results.append(result)
+            print(json.dumps(result._asdict()), flush=True)
     RESULTS_PATH.parent.mkdir(parents=True, exist_ok=True)
-    document = [outcome._asdict() for outcome in outcomes]
+    document = [result._asdict() for result in results]
     RESULTS_PATH.write_text(json.dumps(document, indent=1) + "\n")
-    plot_results(outcomes, PLOT_PATH)
+    plot_results(results, PLOT_PATH)
 
 
-def plot_results(outcomes: list[ExperimentResult], path: pathlib.Path) -> None:
-    """Draw the share of streams in time over the load, a line for each way.
+def plot_results(results: list[ExperimentResult], path: pathlib.Path) -> None:
+    """Plot the share of streams that meet the targets over the arrival rate.
 
     Parameters
     ----------
-    outcomes : list of ExperimentResult
+    results : list of ExperimentResult
+        Results of each strategy, in increasing order of the arrival rate.
     path : pathlib.Path
-        Where the picture goes.
+        File of the plot.
     """
     import matplotlib
 
@@ -51,10 +52,12 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(6, 4))
-    for way in RecoveryStrategy:
-        own = [each for each in outcomes if each.way == way.value]
-        loads = [each.per_s for each in own]
-        axes.plot(loads, [each.in_time for each in own], marker="o", label=way.value)
+    for strategy in RecoveryStrategy:
+        selected = [item for item in results if item.way == strategy.value]
+        rates = [item.per_s for item in selected]
+        axes.plot(
+            rates, [item.in_time for item in selected], marker="o", label=strategy.value
+        )
     axes.set_xlabel("streams a second")
     axes.set_ylabel("share in time")
     axes.set_ylim(0.0, 1.05)
--- a/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
@@ -1,4 +1,4 @@
-"""The simplest wire between callers, node and simulated engines."""
+"""Minimal header formats between callers, the node and simulated engines."""
 
 from __future__ import annotations
 
@@ -18,14 +18,19 @@
 
 
 class SimulatedCallerDialect(CallerDialect):
-    """Requests with an id and two sizes."""
+    """Reads requests with the headers ``id`` and ``size``.
+
+    ``size`` is the number of prompt tokens and of output tokens, separated by a slash.
+    """
 
     def read_request(self, exchange: Exchange) -> ForwardRequest:
         """See `CallerDialect.read_request`."""
-        found = {name.decode(): value.decode() for name, value in exchange.head.headers}
-        prompt, _, output = found["size"].partition("/")
+        fields = {
+            name.decode(): value.decode() for name, value in exchange.head.headers
+        }
+        prompt, _, output = fields["size"].partition("/")
         return ForwardRequest(
-            request_id=found["id"],
+            request_id=fields["id"],
             method=exchange.head.method,
             target=exchange.head.target,
             host=HOST,
@@ -36,7 +41,7 @@
             api_key=API_KEY,
             last_event_id=None,
             size=GenerationSize(int(prompt), int(output)),
-            prompt_id=found["id"],
+            prompt_id=fields["id"],
             arrived_at=exchange.arrived_at,
         )
 
@@ -46,7 +51,7 @@
 
 
 class SimulatedBackendDialect(BackendDialect):
-    """What engines are told and tell."""
+    """Writes requests to simulated engines and reads their responses."""
 
     def write_headers(
         self, request: ForwardRequest, server_id: str, plan: AttemptPlan
@@ -70,14 +75,14 @@
 
     def read_head(self, status: int, headers: Headers) -> ResponseHead:
         """See `BackendDialect.read_head`."""
-        found = dict(headers)
+        fields = dict(headers)
         return ResponseHead(
             status=status,
             headers=(),
-            request_id=found[b"id"].decode(),
+            request_id=fields[b"id"].decode(),
             has_origin_proof=status == 200,
-            not_run=b"not-run" in found,
-            is_other_process=b"other" in found,
+            not_run=b"not-run" in fields,
+            is_other_process=b"other" in fields,
             other_server_id=None,
             load=None,
         )
--- a/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
@@ -1,4 +1,4 @@
-"""Engines in simulated time: prompts, events, copies and crashes."""
+"""Simulated engines with prefill, event streams, run copies and crashes."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 PREFILL_TOKENS_PER_S = 8000.0
 FIRST_EVENT_DELAY_S = 0.1
-EVENT_INTERVAL_S = 0.026  # six tokens at 4.4 ms
-PREFILL_SLOWDOWN_FACTOR = 4.0  # of the events beside a prompt that is being read
+EVENT_INTERVAL_S = 0.026  # six tokens at 4.4 ms each
+PREFILL_SLOWDOWN_FACTOR = 4.0  # of the event interval during a prefill
 COPY_INTERVAL_S = 0.25
 COPY_RESUME_DELAY_S = 0.02
 TOKENS_PER_EVENT = 6
-LISTING_DELAY_S = 0.3  # until a restarted engine is listed
+LISTING_DELAY_S = 0.3  # from a restart until the engine is listed
 
 
 @attrs.define(slots=True, eq=False)
@@ -34,12 +34,18 @@
 
 
 class SimulatedEngine:
-    """One engine; a crash empties it.
+    """An engine that loses its runs and copies in a crash.
 
     Parameters
     ----------
     name, data_centre, address : str
     fleet : EngineFleet
+        Fleet that contains the engine.
+
+    Attributes
+    ----------
+    copies : dict of str to int
+        Number of events that each stored copy of a run covers, by request ID.
     """
 
     def __init__(self, name: str, data_centre: str, address: str, fleet: EngineFleet):
@@ -55,7 +61,7 @@
         self._connections: list[ServerSide] = []
 
     def make_entry(self) -> BackendEntry:
-        """Return its entry in the list."""
+        """Return the entry of the engine in the list of backend servers."""
         return BackendEntry(
             server_id=self.name,
             started_ms=self.started_ms,
@@ -66,33 +72,35 @@
             state=BackendState.READY,
         )
 
-    def accept(self, side: ServerSide) -> None:
-        """Take a new connection."""
-        self._connections.append(side)
+    def accept(self, connection: ServerSide) -> None:
+        """Accept a new connection."""
+        self._connections.append(connection)
 
     def process_requests(self) -> None:
-        """Begin what arrived, and drop the runs of closed connections."""
-        for side in self._connections:
-            if side.has_request() and not side.is_closed:
-                self._start_run(side)
-        self._connections = [side for side in self._connections if not side.is_closed]
+        """Start runs for new requests and stop the runs of closed connections."""
+        for connection in self._connections:
+            if connection.has_request() and not connection.is_closed:
+                self._start_run(connection)
+        self._connections = [
+            connection for connection in self._connections if not connection.is_closed
+        ]
         for run in list(self.runs.values()):
             if run.connection.is_closed:
                 self._stop_run(run)
 
     def crash(self) -> None:
-        """Lose everything and refuse connections."""
+        """Drop all runs, copies and connections, and refuse new connections."""
         self.is_down = True
         self.copies.clear()
         for run in list(self.runs.values()):
             self._stop_run(run)
-        sides, self._connections = self._connections, []
-        for side in sides:
-            if not side.is_closed:
-                side.reset()
+        connections, self._connections = self._connections, []
+        for connection in connections:
+            if not connection.is_closed:
+                connection.reset()
 
     def restart(self) -> None:
-        """Come back empty; the list tells some time later."""
+        """Restart without state; the list shows it after `LISTING_DELAY_S`."""
         self.is_down = False
         self._prefill_ends_at = 0.0
         self.started_ms += 1
@@ -101,7 +109,9 @@
         )
 
     def copy_run(self, request_id: str, target: SimulatedEngine) -> bool:
-        """Copy the memory of a run to another engine, if both can.
+        """Copy the memory of a run to another engine.
+
+        Only the tokens that the target's copy lacks are transferred.
 
         Parameters
         ----------
@@ -111,23 +121,27 @@
         Returns
         -------
         bool
+            False if the run has no events yet or does not exist here, or if the target
+            is down.
         """
         run = self.runs.get(request_id)
         if run is None or target.is_down or run.generated_events == 0:
             return False
-        known = target.copies.get(request_id)
-        tokens = TOKENS_PER_EVENT * (run.generated_events - (known or 0))
-        self._fleet.moved_tokens += tokens + (run.prompt_tokens if known is None else 0)
+        copied_events = target.copies.get(request_id)
+        tokens = TOKENS_PER_EVENT * (run.generated_events - (copied_events or 0))
+        self._fleet.copied_tokens += tokens + (
+            run.prompt_tokens if copied_events is None else 0
+        )
         target.copies[request_id] = run.generated_events
         return True
 
-    def _start_run(self, side: ServerSide) -> None:
-        head, _ = side.read_request()
+    def _start_run(self, connection: ServerSide) -> None:
+        head, _ = connection.read_request()
         fields = {name.decode(): value.decode() for name, value in head.headers}
         request_id = fields["id"]
         copy = fields.get("copy")
         if copy is not None and copy not in self.copies:
-            side.receive(_encode_refusal(request_id))
+            connection.receive(_encode_refusal(request_id))
             return
         prompt, _, output = fields["size"].partition("/")
         run = _Run(
@@ -135,25 +149,27 @@
             prompt_tokens=int(prompt),
             total_events=int(output) // TOKENS_PER_EVENT,
             generated_events=int(fields.get("after", 0)),
-            connection=side,
+            connection=connection,
             copy_to=fields.get("copy-to"),
         )
         self.runs[request_id] = run
-        self._schedule(run, self._schedule_prefill(run, copy, "after" in fields))
+        self._schedule_first_event(
+            run, self._schedule_prefill(run, copy, "after" in fields)
+        )
 
     def _schedule_prefill(self, run: _Run, copy: str | None, is_resumed: bool) -> float:
-        """Return the time until the first event."""
+        """Return the delay until the first event in seconds."""
         if copy is not None:
             self.copies.pop(copy, None)
             return COPY_RESUME_DELAY_S
         now = self._fleet.clock.seconds()
         if is_resumed:
-            self._fleet.read_again_tokens += run.prompt_tokens
+            self._fleet.repeated_prefill_tokens += run.prompt_tokens
         start = max(now, self._prefill_ends_at)
         self._prefill_ends_at = start + run.prompt_tokens / PREFILL_TOKENS_PER_S
         return self._prefill_ends_at - now + FIRST_EVENT_DELAY_S
 
-    def _schedule(self, run: _Run, delay_s: float) -> None:
+    def _schedule_first_event(self, run: _Run, delay_s: float) -> None:
         run.timers = [self._fleet.clock.callLater(delay_s, self._emit_event, run, True)]
 
     def _emit_event(self, run: _Run, is_first: bool) -> None:
@@ -184,27 +200,30 @@
         self.copy_run(run.request_id, self._fleet.by_address[run.copy_to])
 
     def _stop_run(self, run: _Run) -> None:
-        for call in run.timers:
-            if call.active():
-                call.cancel()
+        for timer in run.timers:
+            if timer.active():
+                timer.cancel()
         self.runs.pop(run.request_id, None)
 
 
 class EngineFleet(RunCopier):
-    """All engines, and what they cost.
+    """All engines, with counters of the tokens copied and prefilled again.
 
     Parameters
     ----------
     clock : Clock
     data_centres : int
     engines : int
-        In each data centre.
+        Number of engines in each data centre.
     on_listed : callable
-        Called with the entry of an engine that restarted.
+        Called with the entry of a restarted engine when it is listed.
 
     Attributes
     ----------
-    moved_tokens, read_again_tokens : int
+    copied_tokens : int
+        Tokens whose memory was copied between engines.
+    repeated_prefill_tokens : int
+        Prompt tokens of resumed runs that were prefilled again.
     """
 
     def __init__(
@@ -217,36 +236,37 @@
     ):
         self.clock = clock
         self.on_listed = on_listed
-        self.moved_tokens = 0
-        self.read_again_tokens = 0
+        self.copied_tokens = 0
+        self.repeated_prefill_tokens = 0
         self.engines = [
             SimulatedEngine(
-                f"e{zone}{number}", f"dc-{zone}", f"10.0.{zone}.{number}:80", self
+                f"e{index}{number}", f"dc-{index}", f"10.0.{index}.{number}:80", self
             )
-            for zone in range(data_centres)
+            for index in range(data_centres)
             for number in range(engines)
         ]
         self.by_address = {engine.address: engine for engine in self.engines}
 
-    def crash_data_centre(self, data_centre: str, down_s: float) -> None:
-        """Crash all engines of a data centre for a while.
+    def crash_data_centre(self, data_centre: str, downtime_s: float) -> None:
+        """Crash all engines of a data centre and restart them later.
 
         Parameters
         ----------
         data_centre : str
-        down_s : float
+        downtime_s : float
+            Seconds until the restart.
         """
         for engine in self.engines:
             if engine.data_centre == data_centre:
                 engine.crash()
-                self.clock.callLater(down_s, engine.restart)
+                self.clock.callLater(downtime_s, engine.restart)
 
     async def copy_run(
         self, *, source: str, request_id: str, target: str
     ) -> str | None:
         """See `RunCopier.copy_run`."""
-        engine, holder = self.by_address[source], self.by_address[target]
-        return request_id if engine.copy_run(request_id, holder) else None
+        source_engine, target_engine = self.by_address[source], self.by_address[target]
+        return request_id if source_engine.copy_run(request_id, target_engine) else None
 
     async def drop_copy(self, *, source: str, handle: str) -> None:
         """See `RunCopier.drop_copy`."""
--- a/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
@@ -1,4 +1,4 @@
-"""Streams at several loads while whole data centres of engines crash in turn."""
+"""Streams while all engines of one data centre after another crash."""
 
 from __future__ import annotations
 
@@ -61,7 +61,11 @@
 
 
 class RecoveryStrategy(enum.Enum):
-    """How a stream that lost its engine goes on."""
+    """How a stream recovers from the loss of its engine.
+
+    ``COPY`` resumes it from a copy of the run on another engine, ``PROMPT`` resumes it
+    with a new prefill, and ``RESTART`` leaves it to the caller to send a new request.
+    """
 
     COPY = "copy"
     PROMPT = "prompt"
@@ -69,22 +73,28 @@
 
 
 class ExperimentResult(NamedTuple):
-    """What one run of the experiment showed.
+    """Result of one run of the experiment.
 
     Parameters
     ----------
     way : str
+        Value of the `RecoveryStrategy`.
     per_s : float
-        Streams that arrive in a second.
+        Arrival rate, streams per second.
     streams : int
+        Number of streams.
     in_time : float
-        Share that was whole, with its first event and all pauses on time.
+        Share of the streams that completed without a restart and met the targets for
+        the first event and for the gaps between events.
     whole : float
-        Share that was whole.
+        Share of the streams that completed.
     pause_p50_s, pause_p95_s, pause_max_s : float
-        Longest pauses of the streams that were interrupted by a crash.
-    moved_tokens, read_again_tokens : int
-        Memory copied between engines, prompt tokens read again.
+        Percentiles and maximum of the longest gap between events, over the streams
+        with a gap of more than 0.2 s. Shorter gaps do not count as interruptions.
+    moved_tokens : int
+        Tokens whose memory was copied between engines.
+    read_again_tokens : int
+        Prompt tokens that were prefilled again.
     """
 
     way: str
@@ -100,7 +110,7 @@
 
 
 class _StaticSource(StateSource):
-    """Configuration and servers are put in place by the experiment."""
+    """State source without updates; the experiment sets the state itself."""
 
     def start(self) -> None:
         """See `StateSource.start`."""
@@ -125,7 +135,7 @@
 
 
 class _NullInspector(ServerInspector):
-    """Knows nothing of any server."""
+    """Inspector that finds no server."""
 
     async def inspect(self, address: str) -> InspectedServer | None:
         """See `ServerInspector.inspect`."""
@@ -133,9 +143,11 @@
 
 
 class _Stream:
-    """One caller's stream as it arrives."""
+    """One stream from the caller's side, restarted after a lost connection."""
 
-    def __init__(self, gateway: Gateway, request_id: str, prompt: int, now: float):
+    def __init__(
+        self, gateway: Gateway, request_id: str, prompt_tokens: int, now: float
+    ):
         self.request_id = request_id
         self.sent_at = now
         self.first_event_s: float | None = None
@@ -143,19 +155,19 @@
         self.is_complete = False
         self.restarts = 0
         self._is_rejected = False
-        self._prompt = prompt
+        self._prompt_tokens = prompt_tokens
         self._gateway = gateway
         self._last_at = now
         self._send()
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the stream completed or was rejected."""
         return self.is_complete or self._is_rejected
 
     @property
     def meets_targets(self) -> bool:
-        """Whether callers got what the targets say."""
+        """Whether the stream completed without a restart and met the target times."""
         return (
             self.is_complete
             and not self.restarts
@@ -164,7 +176,13 @@
         )
 
     def poll(self, now: float) -> None:
-        """Take note of what arrived since the last look."""
+        """Read new events and restart the stream if its connection was aborted.
+
+        Parameters
+        ----------
+        now : float
+            Simulated time in seconds.
+        """
         if self.is_finished:
             return
         self._read(now)
@@ -176,23 +194,23 @@
         self._codec = h11.Connection(h11.CLIENT)
         self._codec.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
         self._codec.send(h11.EndOfMessage())
-        self._read_bytes = 0
+        self._read_offset = 0
         self._transport = MemoryTransport()
         protocol = self._gateway.server.buildProtocol(None)
         protocol.makeConnection(self._transport)
         attempt = f"{self.request_id}.{self.restarts}"
         head = (
             f"POST {PATH} HTTP/1.1\r\nhost: {HOST}\r\nid: {attempt}\r\n"
-            f"size: {self._prompt}/{OUTPUT_TOKENS}\r\n"
+            f"size: {self._prompt_tokens}/{OUTPUT_TOKENS}\r\n"
             f"content-length: {len(attempt)}\r\n\r\n{attempt}"
         )
         protocol.dataReceived(head.encode())
 
     def _read(self, now: float) -> None:
-        data = self._transport.value()[self._read_bytes :]
+        data = self._transport.value()[self._read_offset :]
         if not data:
             return
-        self._read_bytes += len(data)
+        self._read_offset += len(data)
         self._codec.receive_data(data)
         while True:
             event = self._codec.next_event()
@@ -215,14 +233,18 @@
 
 
 class _Simulation:
-    """One run: a node in memory between callers and simulated engines."""
+    """One run of the experiment: a gateway between callers and simulated engines."""
 
     def __init__(
-        self, way: RecoveryStrategy, per_s: float, seed: int, duration_s: float
+        self,
+        strategy: RecoveryStrategy,
+        streams_per_s: float,
+        seed: int,
+        duration_s: float,
     ):
         self._duration_s = duration_s
-        self._way = way
-        self._per_s = per_s
+        self._strategy = strategy
+        self._streams_per_s = streams_per_s
         self._rng = random.Random(seed)
         self._reactor = MemoryReactorClock()
         self._reactor.advance(100.0)
@@ -233,47 +255,53 @@
             on_listed=self._update_entry,
         )
         self._gateway = self._build_gateway(seed)
-        entries = {each.name: each.make_entry() for each in self._fleet.engines}
-        self._gateway.state.apply_configuration(_make_configuration(way))
+        entries = {item.name: item.make_entry() for item in self._fleet.engines}
+        self._gateway.state.apply_configuration(_make_configuration(strategy))
         self._gateway.state.replace_backends(entries)
         self._accepted_connections = 0
         self._streams: list[_Stream] = []
 
     def run(self) -> ExperimentResult:
-        """Play it and return what it showed."""
+        """Run until all streams finish or time out, and return the result."""
         start = self._reactor.seconds()
         crash_at = start + FIRST_CRASH_S
-        next_at = start + self._rng.expovariate(self._per_s)
+        next_arrival_at = start + self._rng.expovariate(self._streams_per_s)
         crashes = 0
         end = start + self._duration_s
         while self._reactor.seconds() < end or self._has_open_streams(end):
             now = self._reactor.seconds()
-            if next_at <= now < end:
+            if next_arrival_at <= now < end:
                 self._start_stream(now)
-                next_at += self._rng.expovariate(self._per_s)
+                next_arrival_at += self._rng.expovariate(self._streams_per_s)
             if crash_at <= now < end:
-                zone = f"dc-{crashes % DATA_CENTRES}"
-                self._fleet.crash_data_centre(zone, DOWNTIME_S)
+                data_centre = f"dc-{crashes % DATA_CENTRES}"
+                self._fleet.crash_data_centre(data_centre, DOWNTIME_S)
                 crashes += 1
                 crash_at += CRASH_INTERVAL_S
             self._step()
         return self._summarize()
 
     def _has_open_streams(self, end: float) -> bool:
-        """Tell whether a stream may still go on after the last arrival."""
-        is_finished = self._reactor.seconds() >= end + TIMEOUT_S
-        return not is_finished and not all(each.is_finished for each in self._streams)
+        """Return whether streams are open and may still complete before the timeout.
+
+        Parameters
+        ----------
+        end : float
+            Time after which no stream starts, simulated seconds.
+        """
+        is_timed_out = self._reactor.seconds() >= end + TIMEOUT_S
+        return not is_timed_out and not all(item.is_finished for item in self._streams)
 
     def _update_entry(self, entry: BackendEntry) -> None:
         self._gateway.state.put_backend(entry)
 
     def _start_stream(self, now: float) -> None:
-        spread = self._rng.uniform(
+        factor = self._rng.uniform(
             1 - PROMPT_TOKENS_SPREAD_SHARE, 1 + PROMPT_TOKENS_SPREAD_SHARE
         )
-        name = f"r{len(self._streams)}"
-        prompt = int(PROMPT_TOKENS * spread)
-        self._streams.append(_Stream(self._gateway, name, prompt, now))
+        request_id = f"r{len(self._streams)}"
+        prompt_tokens = int(PROMPT_TOKENS * factor)
+        self._streams.append(_Stream(self._gateway, request_id, prompt_tokens, now))
 
     def _step(self) -> None:
         self._accept_connections()
@@ -312,24 +340,24 @@
 
     def _summarize(self) -> ExperimentResult:
         streams = self._streams
-        pauses = [each.max_gap_s for each in streams if each.max_gap_s > 0.2] or [0.0]
-        pauses.sort()
+        gaps = [item.max_gap_s for item in streams if item.max_gap_s > 0.2] or [0.0]
+        gaps.sort()
         return ExperimentResult(
-            way=self._way.value,
-            per_s=self._per_s,
+            way=self._strategy.value,
+            per_s=self._streams_per_s,
             streams=len(streams),
-            in_time=round(statistics.mean(each.meets_targets for each in streams), 3),
-            whole=round(statistics.mean(each.is_complete for each in streams), 3),
-            pause_p50_s=round(pauses[len(pauses) // 2], 3),
-            pause_p95_s=round(pauses[int(0.95 * (len(pauses) - 1))], 3),
-            pause_max_s=round(pauses[-1], 3),
-            moved_tokens=self._fleet.moved_tokens,
-            read_again_tokens=self._fleet.read_again_tokens,
+            in_time=round(statistics.mean(item.meets_targets for item in streams), 3),
+            whole=round(statistics.mean(item.is_complete for item in streams), 3),
+            pause_p50_s=round(gaps[len(gaps) // 2], 3),
+            pause_p95_s=round(gaps[int(0.95 * (len(gaps) - 1))], 3),
+            pause_max_s=round(gaps[-1], 3),
+            moved_tokens=self._fleet.copied_tokens,
+            read_again_tokens=self._fleet.repeated_prefill_tokens,
         )
 
 
-def _make_configuration(way: RecoveryStrategy) -> RoutingConfiguration:
-    has_copies = way is RecoveryStrategy.COPY
+def _make_configuration(strategy: RecoveryStrategy) -> RoutingConfiguration:
+    has_copies = strategy is RecoveryStrategy.COPY
     route = Route(
         name="stream",
         host=HOST,
@@ -342,7 +370,7 @@
         shares=(ServiceShare("engines", 1.0),),
         max_attempts=5,
         is_anonymous=False,
-        is_resumable=way is not RecoveryStrategy.RESTART,
+        is_resumable=strategy is not RecoveryStrategy.RESTART,
     )
     traits = EngineTraits(64, ENGINE_MEMORY_TOKENS, has_copies, has_copies, 4.0)
     return RoutingConfiguration(
@@ -356,25 +384,26 @@
 
 
 def run_experiment(
-    way: RecoveryStrategy,
-    per_s: float,
+    strategy: RecoveryStrategy,
+    streams_per_s: float,
     *,
     seed: int = 1,
     duration_s: float = DURATION_S,
 ) -> ExperimentResult:
-    """Play the experiment once.
+    """Run the experiment once.
 
     Parameters
     ----------
-    way : RecoveryStrategy
-    per_s : float
-        Streams that arrive in a second.
+    strategy : RecoveryStrategy
+    streams_per_s : float
+        Mean arrival rate of streams per second.
     seed : int
+        Seed of the random number generators.
     duration_s : float
-        Time in which streams arrive and data centres are lost, seconds.
+        Simulated seconds in which streams start and data centres crash.
 
     Returns
     -------
     ExperimentResult
     """
-    return _Simulation(way, per_s, seed, duration_s).run()
+    return _Simulation(strategy, streams_per_s, seed, duration_s).run()
--- a/packages/standins/src/ebonyhaven_standins/slopes/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/__init__.py
@@ -1,4 +1,8 @@
-"""Measures what each peer, server, workspace, stream and token costs."""
+"""Resource costs per peer, backend server, workspace, stream and token.
+
+Each benchmark measures a cost at several sizes and fits a line. The results are then
+extrapolated to the target scale and compared with its limits.
+"""
 
 from __future__ import annotations
 
--- a/packages/standins/src/ebonyhaven_standins/slopes/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the slope tool."""
+"""Command line of the scaling benchmarks."""
 
 from __future__ import annotations
 
@@ -12,24 +12,26 @@
 
 def main(
     measure: Annotated[
-        str | None, typer.Option(help="Take one measurement and print its points.")
+        str | None, typer.Option(help="Run one benchmark and print its points.")
     ] = None,
-    output: Annotated[pathlib.Path, typer.Option(help="JSON file.")] = RESULTS_PATH,
+    output: Annotated[
+        pathlib.Path, typer.Option(help="JSON file of the results.")
+    ] = RESULTS_PATH,
     again: Annotated[
-        bool, typer.Option(help="Measure what the JSON file holds already.")
+        bool, typer.Option(help="Repeat benchmarks whose results are in the JSON file.")
     ] = True,
     page: Annotated[
         pathlib.Path | None,
-        typer.Option(help="Page whose tables are replaced, such as docs/CAPACITY.md."),
+        typer.Option(help="Markdown page to update, such as docs/CAPACITY.md."),
     ] = None,
 ) -> None:
-    """Measure all slopes, print the tables and write the points as JSON."""
+    """Run the benchmarks, print the tables and write the points as JSON."""
     from ebonyhaven_standins.slopes import print_points, run_benchmarks
 
     if measure is not None:
         print_points(measure)
     else:
-        run_benchmarks(output=output, page=page, again=again)
+        run_benchmarks(output=output, page=page, remeasure=again)
 
 
 if __name__ == "__main__":
--- a/packages/standins/src/ebonyhaven_standins/slopes/_benchmarks.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_benchmarks.py
@@ -1,4 +1,4 @@
-"""Takes each measurement in a process of its own and collects the results."""
+"""Runs each benchmark in a separate process and collects the results."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Benchmark(NamedTuple):
-    """A function that measures rows, and the keys of these rows."""
+    """A function that measures quantities, and the keys of these quantities."""
 
     measure: Callable[[], list[Measurement]]
     keys: tuple[str, ...]
@@ -87,7 +87,7 @@
 
 
 def print_points(name: str) -> None:
-    """Take one measurement and print its points as JSON.
+    """Run one benchmark and print its points as JSON.
 
     Parameters
     ----------
@@ -101,20 +101,20 @@
 def run_benchmarks(
     *, output: pathlib.Path, page: pathlib.Path | None, remeasure: bool
 ) -> None:
-    """Take all measurements, print the tables and write the points.
+    """Run the benchmarks, print the tables and write the points.
 
     Parameters
     ----------
     output : pathlib.Path
-        JSON file of the points, written after each measurement.
+        JSON file of the points, written after each benchmark.
     page : pathlib.Path or None
-        Page whose tables are replaced.
+        Markdown page whose tables are replaced.
     remeasure : bool
-        Whether to measure what the file holds already.
+        Whether to repeat benchmarks whose points are in the file.
     """
     points = read_points(output) if output.exists() and not remeasure else {}
-    for name, measure in BENCHMARKS.items():
-        if all(key in points for key in measure.keys):
+    for name, benchmark in BENCHMARKS.items():
+        if all(key in points for key in benchmark.keys):
             continue
         print(f"measuring {name}", file=sys.stderr, flush=True)
         points |= _measure_in_subprocess(name)
@@ -133,8 +133,11 @@
 def make_measurements(
     points: Mapping[str, list[Point]],
 ) -> dict[str, Measurement]:
-    """Return the measurements of all rows in their order."""
-    return {row.key: make_measurement(row.key, points[row.key]) for row in QUANTITIES}
+    """Return the measurements of all quantities, in the order of `QUANTITIES`."""
+    return {
+        quantity.key: make_measurement(quantity.key, points[quantity.key])
+        for quantity in QUANTITIES
+    }
 
 
 def write_points(path: pathlib.Path, points: Mapping[str, list[Point]]) -> None:
@@ -144,12 +147,12 @@
     ----------
     path : pathlib.Path
     points : mapping of str to list of Point
-        Points by key of their row; rows may be missing.
+        Points by key of their quantity; quantities may be missing.
     """
-    measured = [
-        make_measurement(row.key, points[row.key])
-        for row in QUANTITIES
-        if row.key in points
+    measurements = [
+        make_measurement(quantity.key, points[quantity.key])
+        for quantity in QUANTITIES
+        if quantity.key in points
     ]
     rows = {
         item.quantity.key: {
@@ -159,7 +162,7 @@
             "value": item.value,
             "error_percent": item.fit.error_percent,
         }
-        for item in measured
+        for item in measurements
     }
     content = {"python": platform.python_version(), "rows": rows}
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -167,7 +170,7 @@
 
 
 def read_points(path: pathlib.Path) -> dict[str, list[Point]]:
-    """Return the points that `write_points` wrote."""
+    """Return the points by key from a file that `write_points` wrote."""
     rows = json.loads(path.read_text())["rows"]
     return {key: [Point(*pair) for pair in row["points"]] for key, row in rows.items()}
 
@@ -178,5 +181,5 @@
     lines = [
         line for line in result.stdout.splitlines() if line.startswith(_POINTS_PREFIX)
     ]
-    found = json.loads(lines[-1].removeprefix(_POINTS_PREFIX))
-    return {key: [Point(*pair) for pair in pairs] for key, pairs in found.items()}
+    points = json.loads(lines[-1].removeprefix(_POINTS_PREFIX))
+    return {key: [Point(*pair) for pair in pairs] for key, pairs in points.items()}
--- a/packages/standins/src/ebonyhaven_standins/slopes/_capacity.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_capacity.py
@@ -1,4 +1,4 @@
-"""Each role at the size of the target, worked out from the measured rows."""
+"""Resource use of each role at the target scale, extrapolated from measurements."""
 
 from __future__ import annotations
 
@@ -26,8 +26,18 @@
 class CapacityLine(NamedTuple):
     """One line of the capacity table.
 
-    ``limit`` is None where nobody has set one; a line fits if its value is not
-    above the limit.
+    Parameters
+    ----------
+    role, name : str
+        Role of the node, and the resource that the line describes.
+    formula : str
+        Short form of the calculation, as printed in the table.
+    unit : str
+        Unit of the value and of the limit.
+    compute : callable
+        Returns the value, given the measured values by key of their quantity.
+    limit : float, optional
+        Largest permitted value; None if there is no limit.
     """
 
     role: str
@@ -38,7 +48,7 @@
     limit: float | None = None
 
     def meets_limit(self, values: Values) -> bool:
-        """Return whether the line keeps its limit."""
+        """Return whether the value is within the limit, if there is one."""
         return self.limit is None or self.compute(values) <= self.limit
 
 
@@ -52,8 +62,8 @@
 
 
 def _reader_list_cpu_percent(values: Values) -> float:
-    a_read_us = target.LIST_ENTRIES * values["list_cpu"]
-    return a_read_us / target.LIST_READER_PERIOD_S / 1e4
+    cpu_us_per_read = target.LIST_ENTRIES * values["list_cpu"]
+    return cpu_us_per_read / target.LIST_READER_PERIOD_S / 1e4
 
 
 def _scrape_cpu_percent(values: Values) -> float:
@@ -69,19 +79,21 @@
 
 
 def _membership_bytes_per_s(values: Values) -> float:
-    digests = values["membership_messages"] * target.HEARTBEAT_DIGEST_BYTES
-    return values["membership_bytes"] + digests
+    digest_bytes = values["membership_messages"] * target.HEARTBEAT_DIGEST_BYTES
+    return values["membership_bytes"] + digest_bytes
 
 
 def _reader_list_bytes_per_s(values: Values) -> float:
-    a_read = target.LIST_ENTRIES * values["list_bytes"]
-    return a_read / target.LIST_READER_PERIOD_S
+    bytes_per_read = target.LIST_ENTRIES * values["list_bytes"]
+    return bytes_per_read / target.LIST_READER_PERIOD_S
 
 
 def _mean_list_bytes_per_s(values: Values) -> float:
-    on_duty = _reader_list_bytes_per_s(values) * target.LIST_READERS / target.INSTANCES
-    a_read = target.LIST_ENTRIES * values["list_bytes"]
-    return on_duty + a_read / target.LIST_REPAIR_PERIOD_S
+    reader_bytes_per_s = (
+        _reader_list_bytes_per_s(values) * target.LIST_READERS / target.INSTANCES
+    )
+    bytes_per_read = target.LIST_ENTRIES * values["list_bytes"]
+    return reader_bytes_per_s + bytes_per_read / target.LIST_REPAIR_PERIOD_S
 
 
 def _configuration_bytes_per_s(values: Values) -> float:
@@ -93,8 +105,10 @@
 
 
 def _table_reads_per_s(values: Values) -> float:
-    configuration = target.CLUSTER_CONFIGURATION_READS_PER_S * values["rest_reads"]
-    return configuration + target.MODELS * values["pool_reads"]
+    configuration_reads = (
+        target.CLUSTER_CONFIGURATION_READS_PER_S * values["rest_reads"]
+    )
+    return configuration_reads + target.MODELS * values["pool_reads"]
 
 
 def _claim_writes_per_s(_: Values) -> float:
@@ -357,19 +371,25 @@
 
 
 def extract_values(measurements: Mapping[str, Measurement]) -> dict[str, float]:
-    """Return the value of each row."""
+    """Return the value of each measured quantity by its key."""
     return {key: item.value for key, item in measurements.items()}
 
 
 def render_capacity(measurements: Mapping[str, Measurement]) -> str:
-    """Return the capacity table."""
+    """Return the capacity table in Markdown.
+
+    Parameters
+    ----------
+    measurements : mapping of str to Measurement
+        Measurements of all quantities by key.
+    """
     values = extract_values(measurements)
     return render_table(
-        CAPACITY_HEADER, [_render(line, values) for line in CAPACITY_LINES]
+        CAPACITY_HEADER, [_render_line(line, values) for line in CAPACITY_LINES]
     )
 
 
-def _render(line: CapacityLine, values: Values) -> tuple[str, ...]:
+def _render_line(line: CapacityLine, values: Values) -> tuple[str, ...]:
     value = line.compute(values)
     limit, margin, verdict = "", "", ""
     if line.limit is not None:
--- a/packages/standins/src/ebonyhaven_standins/slopes/_fits.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Least-squares fits and means of measured points."""
 
 from __future__ import annotations
 
@@ -9,14 +9,18 @@
 
 
 class Point(NamedTuple):
-    """One measurement: a size and what was measured at it."""
+    """One measured value and the size at which it was measured."""
 
     size: float
     value: float
 
 
 class Fit(NamedTuple):
-    """A line, and the standard error of its slope in percent of the slope."""
+    """A straight line.
+
+    ``error_percent`` is the standard error of the slope in percent of the slope, or
+    the error that `fit_mean` describes.
+    """
 
     slope: float
     intercept: float
@@ -24,11 +28,12 @@
 
 
 def fit_line(points: Sequence[Point]) -> Fit:
-    """Return the least-squares line through points of at least two sizes.
+    """Return the least-squares line through points.
 
     Parameters
     ----------
     points : sequence of Point
+        Points of at least two different sizes.
 
     Returns
     -------
@@ -38,15 +43,19 @@
     values = [point.value for point in points]
     slope, intercept = statistics.linear_regression(sizes, values)
     mean = statistics.fmean(sizes)
-    spread = sum((size - mean) ** 2 for size in sizes)
-    residual = sum((value - intercept - slope * size) ** 2 for size, value in points)
-    freedom = max(1, len(points) - 2)
-    error = math.sqrt(residual / freedom / spread)
-    return Fit(slope, intercept, _compute_error_percent(error, slope))
+    squared_deviation = sum((size - mean) ** 2 for size in sizes)
+    squared_residual = sum(
+        (value - intercept - slope * size) ** 2 for size, value in points
+    )
+    degrees_of_freedom = max(1, len(points) - 2)
+    standard_error = math.sqrt(
+        squared_residual / degrees_of_freedom / squared_deviation
+    )
+    return Fit(slope, intercept, _compute_error_percent(standard_error, slope))
 
 
 def fit_mean(points: Sequence[Point]) -> Fit:
-    """Return the mean of repeated values as intercept, with slope 0.
+    """Return a horizontal line at the mean of repeated values.
 
     Parameters
     ----------
@@ -56,7 +65,8 @@
     Returns
     -------
     Fit
-        Its error is half the range of the values in percent of the mean.
+        ``intercept`` is the mean, ``slope`` is 0, and ``error_percent`` is half the
+        range of the values in percent of the mean.
     """
     values = [point.value for point in points]
     mean = statistics.fmean(values)
--- a/packages/standins/src/ebonyhaven_standins/slopes/_idle_nodes.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_idle_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes at rest: real processes without callers."""
+"""Resource use of idle nodes, measured on real processes without callers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def make_deployment(instances: int) -> Deployment:
-    """Return a deployment of some instances and two engines."""
+    """Return a deployment of ``instances`` instances and two engines."""
     return Deployment(
         region="r1",
         instances={f"n{number}": f"dc-{number % 3}" for number in range(instances)},
@@ -41,27 +41,40 @@
 
 
 def read_sent_bytes(address: str) -> float:
-    """Return the control bytes that a node has sent, by its metrics."""
-    with urllib.request.urlopen(f"http://{address}/metrics", timeout=10) as answer:
-        found = _SENT_BYTES_PATTERN.search(answer.read().decode())
-    return float(found.group(1)) if found else 0.0
+    """Return the control bytes that a node has sent, from its metrics.
+
+    Parameters
+    ----------
+    address : str
+        Address that serves ``/metrics``.
+
+    Returns
+    -------
+    float
+        0 if the metric is absent.
+    """
+    with urllib.request.urlopen(f"http://{address}/metrics", timeout=10) as response:
+        match = _SENT_BYTES_PATTERN.search(response.read().decode())
+    return float(match.group(1)) if match else 0.0
 
 
 class _UsageSample:
-    """Counters of all nodes and the platform at one time."""
+    """Counters of all nodes and of the platform at one time."""
 
     def __init__(self, cluster: Cluster, names: list[str]) -> None:
         counts = cluster.platform.call("GET", "/counts")
         self.reads, self.writes = counts["reads"], counts["writes"]
-        self.sent = sum(read_sent_bytes(cluster.addresses[name]) for name in names)
+        self.sent_bytes = sum(
+            read_sent_bytes(cluster.addresses[name]) for name in names
+        )
         children = [cluster.child(name) for name in names]
         self.processor_s = sum(read_processor_s(c.process_id) for c in children)
-        self.resident = [read_resident_bytes(c.process_id) for c in children]
+        self.resident_bytes = [read_resident_bytes(c.process_id) for c in children]
         self.time = time.monotonic()
 
 
 def measure_idle_nodes() -> list[Measurement]:
-    """Measure memory, processor time, table calls and control bytes at rest."""
+    """Measure memory, processor time, table calls and control bytes of idle nodes."""
     points: dict[str, list[Point]] = collections.defaultdict(list)
     for count in INSTANCE_COUNTS:
         first, second = _sample_window(count, 1)
@@ -69,10 +82,10 @@
     for pools in POOL_COUNTS:
         first, second = _sample_window(POOL_INSTANCES, pools)
         window_s = second.time - first.time
-        reads = (second.reads - first.reads) / window_s
-        writes = (second.writes - first.writes) / window_s
-        points["pool_reads"].append(Point(pools, reads))
-        points["pool_writes"].append(Point(pools, writes))
+        reads_per_s = (second.reads - first.reads) / window_s
+        writes_per_s = (second.writes - first.writes) / window_s
+        points["pool_reads"].append(Point(pools, reads_per_s))
+        points["pool_writes"].append(Point(pools, writes_per_s))
     return [make_measurement(key, values) for key, values in points.items()]
 
 
@@ -103,11 +116,11 @@
     second: _UsageSample,
 ) -> None:
     window_s = second.time - first.time
-    resident = statistics.fmean(second.resident) / 1e6
-    processor = (second.processor_s - first.processor_s) / window_s / count
-    points["node_at_rest"].append(Point(count, resident))
-    points["rest_cpu"].append(Point(count, 100 * processor))
-    sent = (second.sent - first.sent) / window_s / count
-    points["rest_bytes"].append(Point(count, sent))
-    reads = (second.reads - first.reads) / window_s
-    points["rest_reads"].append(Point(count, reads))
+    resident_mb = statistics.fmean(second.resident_bytes) / 1e6
+    processor_share = (second.processor_s - first.processor_s) / window_s / count
+    points["node_at_rest"].append(Point(count, resident_mb))
+    points["rest_cpu"].append(Point(count, 100 * processor_share))
+    sent_bytes_per_s = (second.sent_bytes - first.sent_bytes) / window_s / count
+    points["rest_bytes"].append(Point(count, sent_bytes_per_s))
+    reads_per_s = (second.reads - first.reads) / window_s
+    points["rest_reads"].append(Point(count, reads_per_s))
--- a/packages/standins/src/ebonyhaven_standins/slopes/_kept_runs.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_kept_runs.py
@@ -1,4 +1,4 @@
-"""Bytes of finished runs that a node keeps for resubmissions."""
+"""Memory of finished runs that a node keeps for resubmitted requests."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def build_registry(count: int) -> object:
-    """Return a registry of finished runs without tokens."""
+    """Return a registry of ``count`` finished runs without tokens."""
     from ebonyhaven_node._runs import RunRegistry
 
     registry = RunRegistry()
@@ -48,7 +48,7 @@
 
 
 def measure_kept_runs() -> list[Measurement]:
-    """Measure the bytes of a kept run without its tokens, and of a token."""
+    """Measure the bytes per kept run without its tokens, and per kept token."""
     keys: list[Point] = measure_allocated_bytes(build_registry, KEY_COUNTS)
     tokens = measure_allocated_bytes(functools.partial(_build_run, 1), TOKEN_COUNTS)
     return [
--- a/packages/standins/src/ebonyhaven_standins/slopes/_losses.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_losses.py
@@ -1,4 +1,4 @@
-"""What the loss of instances costs the others, on a virtual clock."""
+"""Time and traffic until membership converges after losses, in simulated time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,11 @@
 
 
 class Convergence(NamedTuple):
-    """How long news took, and what each running instance sent meanwhile."""
+    """Time until all membership views converge, and the traffic until then.
+
+    ``messages`` is the mean number of messages that a running instance sends;
+    ``bytes_per_s`` its mean send rate in the busiest `STEP_S` interval.
+    """
 
     seconds: float
     messages: float
@@ -31,15 +35,15 @@
 
 
 def measure_losses() -> list[Measurement]:
-    """Measure the loss of one instance, a rack and a data centre."""
-    by_lost = [_measure_loss(names) for names in _choose_lost_instances()]
+    """Measure the loss of one instance, of a rack and of a data centre."""
+    results = [_measure_loss(names) for names in _choose_lost_instances()]
     sizes = [len(names) for names in _choose_lost_instances()]
     return [
         make_measurement(
             f"loss_{key}",
             [
-                Point(size, getattr(spread, field))
-                for size, spread in zip(sizes, by_lost, strict=True)
+                Point(size, getattr(result, field))
+                for size, result in zip(sizes, results, strict=True)
             ],
         )
         for key, field in (
@@ -51,49 +55,58 @@
 
 
 def measure_partition() -> list[Measurement]:
-    """Measure two regions that lose each other for half a minute and meet again."""
+    """Measure the time to converge after a 30 s partition of two regions."""
     points = []
     for count in PARTITION_INSTANCE_COUNTS:
-        group = MembershipSimulation(count)
-        group.run(SETTLING_S)
-        group.partitioned_regions.add(frozenset({"region-0", "region-1"}))
-        group.run(PARTITION_S)
-        group.partitioned_regions.clear()
-        everyone = set(group.members)
-        spread = _measure_convergence(
-            group,
-            lambda g, names: g.count_diverging_views(names, LIVE_STATES),
-            everyone,
+        simulation = MembershipSimulation(count)
+        simulation.run(SETTLING_S)
+        simulation.partitioned_regions.add(frozenset({"region-0", "region-1"}))
+        simulation.run(PARTITION_S)
+        simulation.partitioned_regions.clear()
+        all_names = set(simulation.members)
+        convergence = _measure_convergence(
+            simulation,
+            lambda s, names: s.count_diverging_views(names, LIVE_STATES),
+            all_names,
         )
-        points.append(Point(count, spread.seconds))
+        points.append(Point(count, convergence.seconds))
     return [make_measurement("heal_seconds", points)]
 
 
 def _choose_lost_instances() -> list[set[str]]:
     members = MembershipSimulation(INSTANCES).members
-    centre = [name for name in members if members[name].data_centre.endswith("-3")]
-    return [set(centre[:1]), set(centre[:RACK_INSTANCES]), set(centre)]
+    data_centre_names = [
+        name for name in members if members[name].data_centre.endswith("-3")
+    ]
+    return [
+        set(data_centre_names[:1]),
+        set(data_centre_names[:RACK_INSTANCES]),
+        set(data_centre_names),
+    ]
 
 
 def _measure_loss(names: set[str]) -> Convergence:
-    group = MembershipSimulation(INSTANCES)
-    group.run(SETTLING_S)
-    group.stopped |= names
+    simulation = MembershipSimulation(INSTANCES)
+    simulation.run(SETTLING_S)
+    simulation.stopped |= names
     return _measure_convergence(
-        group, lambda g, lost: g.count_diverging_views(lost, FAILED_STATES), names
+        simulation, lambda s, lost: s.count_diverging_views(lost, FAILED_STATES), names
     )
 
 
 def _measure_convergence(
-    group: MembershipSimulation,
-    count_left: Callable[[MembershipSimulation, set[str]], int],
+    simulation: MembershipSimulation,
+    count_diverging: Callable[[MembershipSimulation, set[str]], int],
     names: set[str],
 ) -> Convergence:
-    running = len(group.members) - len(group.stopped)
-    spent: list[Traffic] = []
-    while count_left(group, names) and len(spent) * STEP_S < CONVERGENCE_LIMIT_S:
-        spent.append(group.run(STEP_S))
-    seconds = len(spent) * STEP_S
-    messages = sum(item.messages for item in spent) / running
-    peak = max((item.bytes for item in spent), default=0) / STEP_S / running
+    running = len(simulation.members) - len(simulation.stopped)
+    traffic: list[Traffic] = []
+    while (
+        count_diverging(simulation, names)
+        and len(traffic) * STEP_S < CONVERGENCE_LIMIT_S
+    ):
+        traffic.append(simulation.run(STEP_S))
+    seconds = len(traffic) * STEP_S
+    messages = sum(item.messages for item in traffic) / running
+    peak = max((item.bytes for item in traffic), default=0) / STEP_S / running
     return Convergence(seconds, messages, peak)
--- a/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
@@ -1,8 +1,8 @@
-"""Membership at the size of the target, on a virtual clock.
+"""Membership protocol at the target scale, in simulated time.
 
-Only the decision objects run: each message is encoded as on the wire and given
-to the receiver's object, so sizes and processor time are those of the node's own
-code and no process or socket takes part.
+The `Membership` objects of all instances run in one process and exchange messages
+without sockets. Each message is encoded as the node encodes it, so message sizes and
+processor times are those of the node's code.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Traffic(NamedTuple):
-    """What all instances of a group spent in some seconds."""
+    """Messages and bytes that all instances sent, and their processor time."""
 
     messages: int
     bytes: int
@@ -49,6 +49,14 @@
     count : int
         Number of instances.
     seed : int
+        Seed of the random number generators.
+
+    Attributes
+    ----------
+    stopped : set of str
+        Names of instances that neither send nor receive.
+    partitioned_regions : set of frozenset of str
+        Pairs of regions between which all messages are lost.
     """
 
     def __init__(self, count: int, *, seed: int = 1) -> None:
@@ -69,18 +77,19 @@
         for member in members:
             view = Membership(own=member, rng=random.Random(rng.random()), now=self.now)
             view.set_listed(listed)
-            # Views start settled: a start of all at once is not what is measured.
+            # Views start converged, so that no start-up traffic is measured.
             for other in members:
                 view.table.merge(other, self.now)
             self.views[member.name] = view
             self._schedule(self.now + rng.random() * TICK_S, member.name, TICK)
 
     def run(self, seconds: float) -> Traffic:
-        """Let virtual time pass and return what it cost.
+        """Advance the simulated time and return the traffic of that interval.
 
         Parameters
         ----------
         seconds : float
+            Interval in simulated seconds.
 
         Returns
         -------
@@ -89,8 +98,8 @@
         before = (self.messages, self.bytes, self.processor_s)
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
-            self.now, _, name, delivery = heapq.heappop(self._events)
-            self._handle(name, delivery)
+            self.now, _, name, event = heapq.heappop(self._events)
+            self._handle(name, event)
         self.now = end
         return Traffic(
             self.messages - before[0],
@@ -101,7 +110,15 @@
     def count_diverging_views(
         self, subjects: set[str], states: Container[MemberState]
     ) -> int:
-        """Return how many running views hold a subject in none of some states."""
+        """Return how many running instances see a subject outside the given states.
+
+        Parameters
+        ----------
+        subjects : set of str
+            Names of instances. Views without a record of a subject ignore it.
+        states : container of MemberState
+            Expected states of the subjects.
+        """
         return sum(
             any(
                 (record := view.table.get(subject)) is not None
@@ -159,13 +176,13 @@
             if member.control_address == address
         )
 
-    def _schedule(self, at: float, name: str, delivery: Any) -> None:
+    def _schedule(self, at: float, name: str, event: Any) -> None:
         self._sequence += 1
-        heapq.heappush(self._events, (at, self._sequence, name, delivery))
+        heapq.heappush(self._events, (at, self._sequence, name, event))
 
 
 def count_wire_bytes(view: Membership, envelope: Envelope) -> int:
-    """Return the bytes of a message on the wire."""
+    """Return the size of an encoded message on the wire in bytes."""
     from ebonyhaven_node._frames import NNG_HEADER_BYTES, Frame, encode_frame
     from ebonyhaven_node._membership_codec import (
         KIND_BY_MESSAGE_TYPE,
@@ -184,16 +201,18 @@
 
 
 def measure_membership() -> list[Measurement]:
-    """Measure messages, bytes and processor time of settled instances."""
+    """Measure the traffic and processor time per converged instance and second."""
     points: dict[str, list[Point]] = {"messages": [], "bytes": [], "cpu": []}
     for count in INSTANCE_COUNTS:
-        group = MembershipSimulation(count)
-        group.run(SETTLING_S)
-        traffic = group.run(WINDOW_S)
-        share = 1.0 / (count * WINDOW_S)
-        points["messages"].append(Point(count, traffic.messages * share))
-        points["bytes"].append(Point(count, traffic.bytes * share))
-        points["cpu"].append(Point(count, traffic.processor_s * 1e6 * share))
+        simulation = MembershipSimulation(count)
+        simulation.run(SETTLING_S)
+        traffic = simulation.run(WINDOW_S)
+        per_instance_second = 1.0 / (count * WINDOW_S)
+        points["messages"].append(Point(count, traffic.messages * per_instance_second))
+        points["bytes"].append(Point(count, traffic.bytes * per_instance_second))
+        points["cpu"].append(
+            Point(count, traffic.processor_s * 1e6 * per_instance_second)
+        )
     return [
         make_measurement(f"membership_{key}", values) for key, values in points.items()
     ]
--- a/packages/standins/src/ebonyhaven_standins/slopes/_memory.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_memory.py
@@ -1,4 +1,4 @@
-"""Bytes of control state, counted by the interpreter's allocator."""
+"""Memory of control state, as traced by `tracemalloc`."""
 
 from __future__ import annotations
 
@@ -33,29 +33,31 @@
 def measure_allocated_bytes(
     build: Callable[[int], object], counts: Iterable[int]
 ) -> list[Point]:
-    """Return the traced bytes of what a function builds at each count.
+    """Return the allocated bytes of a state at several sizes.
 
     Parameters
     ----------
     build : callable
-        Builds and returns the state for a count.
+        Builds and returns the state for a number of items.
     counts : iterable of int
+        Numbers of items to build.
 
     Returns
     -------
     list of Point
+        Bytes by number of items.
     """
-    build(1)
+    build(1)  # fills caches, which are not part of the state
     points = []
     for count in counts:
         gc.collect()
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
-        kept = build(count)
+        state = build(count)
         gc.collect()
         points.append(Point(count, tracemalloc.get_traced_memory()[0] - before))
         tracemalloc.stop()
-        del kept
+        del state
     return points
 
 
@@ -84,7 +86,7 @@
 
 
 def build_membership(count: int) -> Membership:
-    """Return a view that knows and has heard from other instances."""
+    """Return the membership view of an instance with ``count`` live peers."""
     view = Membership(own=make_member(0), rng=random.Random(1), now=NOW_S)
     members = [make_member(number) for number in range(1, count + 1)]
     view.set_listed({member.name: member.control_address for member in members})
@@ -95,7 +97,7 @@
 
 
 def build_server_table(count: int) -> ServerTable:
-    """Return a table of backend servers that have all reported."""
+    """Return a table of ``count`` backend servers with load reports and requests."""
     table = ServerTable()
     table.replace([make_server(number) for number in range(count)])
     for state in table:
@@ -107,7 +109,7 @@
 
 
 def build_workspaces(count: int) -> list[object]:
-    """Return declared workspaces with their use of each class."""
+    """Return ``count`` declared workspaces and a ledger of their use per class."""
     ledger = UsageLedger(NOW_S)
     declared = {}
     for number in range(count):
@@ -119,7 +121,7 @@
 
 
 def build_metrics(count: int) -> object:
-    """Return the node's relay metrics with observations of each workspace."""
+    """Return the node's relay metrics with observations of ``count`` workspaces."""
     from ebonyhaven_node._metrics import RelayMetrics
 
     metrics = RelayMetrics(CollectorRegistry())
@@ -128,7 +130,7 @@
 
 
 def observe_workspaces(metrics: object, count: int) -> None:
-    """Observe one first token, gap and resume of each workspace and class."""
+    """Record a first token, a gap and a resume per workspace and request class."""
     from ebonyhaven_node._metrics import observe
 
     for number in range(count):
@@ -141,7 +143,7 @@
 
 
 def measure_peer_state() -> list[Measurement]:
-    """Measure the bytes of a peer in the membership view."""
+    """Measure the bytes per peer in the membership view."""
     return [
         make_measurement(
             "peer_state", measure_allocated_bytes(build_membership, PEER_COUNTS)
@@ -150,18 +152,18 @@
 
 
 def measure_server_state() -> list[Measurement]:
-    """Measure the bytes of a backend server in the server table."""
+    """Measure the bytes per backend server in the server table."""
     points = measure_allocated_bytes(build_server_table, SERVER_COUNTS)
     return [make_measurement("server_state", points)]
 
 
 def measure_workspace_state() -> list[Measurement]:
-    """Measure the bytes of a workspace in declaration and ledger."""
+    """Measure the bytes per workspace in the declaration and the usage ledger."""
     points = measure_allocated_bytes(build_workspaces, WORKSPACE_COUNTS)
     return [make_measurement("workspace_state", points)]
 
 
 def measure_workspace_metrics() -> list[Measurement]:
-    """Measure the bytes of a workspace in the relay metrics."""
+    """Measure the bytes per workspace in the relay metrics."""
     points = measure_allocated_bytes(build_metrics, WORKSPACE_COUNTS)
     return [make_measurement("workspace_metrics", points)]
--- a/packages/standins/src/ebonyhaven_standins/slopes/_platform_reads.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_platform_reads.py
@@ -1,4 +1,4 @@
-"""Size and cost of what a node reads from the platform."""
+"""Size and processing cost of the data that a node reads from the platform."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 
 ENTRY_COUNTS = (140, 280, 560, 1120)
 REPETITIONS = 20
-# The same share of instances and backend servers as in the target.
-INSTANCE_SHARE = 390 / 1120
+# Instances per list entry at the target scale; the others are backend servers.
+INSTANCE_ENTRY_SHARE = 390 / 1120
 
 
 def _make_list(count: int) -> bytes:
-    instances = round(INSTANCE_SHARE * count)
+    instances = round(INSTANCE_ENTRY_SHARE * count)
     entries: list[dict[str, Any]] = []
     for number in range(count):
-        listed = make_member(number) if number < instances else make_server(number)
+        process = make_member(number) if number < instances else make_server(number)
         entries.append(
             {
-                "name": listed.name,
+                "name": process.name,
                 "kind": "instance" if number < instances else "backend_server",
-                "address": getattr(listed, "caller_address", "10.2.0.1:9000"),
-                "control_address": getattr(listed, "control_address", ""),
-                "data_centre": listed.data_centre,
-                "region": listed.region,
+                "address": getattr(process, "caller_address", "10.2.0.1:9000"),
+                "control_address": getattr(process, "control_address", ""),
+                "data_centre": process.data_centre,
+                "region": process.region,
                 "state": "live",
                 "pool": "" if number < instances else f"pool-{number % 10}",
                 "identity": f"{number:012x}",
@@ -47,7 +47,7 @@
 
 
 def _read_list(content: bytes, listing: Listing, servers: Any) -> None:
-    """Do what a node does with an answer of the list."""
+    """Process a response of the list as a node does."""
     from ebonyhaven_node._listing import _decode_process, _encode_process
     from ebonyhaven_store._instances import _parse_entry
 
@@ -65,14 +65,14 @@
 
 
 def build_listing(count: int) -> Listing:
-    """Return the list as a node keeps it."""
+    """Return a node's state of a list with ``count`` entries."""
     listing = Listing()
     _read_list(_make_list(count), listing, None)
     return listing
 
 
 def measure_list() -> list[Measurement]:
-    """Measure bytes, processor time and state of the list, by entries."""
+    """Measure bytes, processor time and state per entry of the list."""
     from ebonyhaven_node._servers import BackendServers
 
     sizes, times = [], []
@@ -84,8 +84,8 @@
         before = time.process_time()
         for _ in range(REPETITIONS):
             _read_list(content, listing, servers)
-        used_s = time.process_time() - before
-        times.append(Point(count, 1e6 * used_s / REPETITIONS))
+        processor_s = time.process_time() - before
+        times.append(Point(count, 1e6 * processor_s / REPETITIONS))
     return [
         make_measurement("list_bytes", sizes),
         make_measurement("list_cpu", times),
@@ -96,7 +96,7 @@
 
 
 def measure_declaration() -> list[Measurement]:
-    """Measure the bytes of the configuration's row by its workspaces."""
+    """Measure the size of the configuration's table row by number of workspaces."""
     points = []
     for count in WORKSPACE_COUNTS:
         workspaces = {
--- a/packages/standins/src/ebonyhaven_standins/slopes/_process_usage.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_process_usage.py
@@ -33,12 +33,12 @@
 
 
 def measure_bare_interpreter() -> list[Measurement]:
-    """Measure an interpreter that has imported nothing but ``os``."""
+    """Measure the resident memory of an interpreter that imports only ``os``."""
     return [make_measurement("bare_interpreter", _measure_script(""))]
 
 
 def measure_libraries() -> list[Measurement]:
-    """Measure an interpreter with all modules that a serving node imports."""
+    """Measure the resident memory after importing all modules of a serving node."""
     script = (
         "from twisted.internet import epollreactor; epollreactor.install(); "
         "import ebonyhaven_node._composition, pynng, prometheus_client, structlog; "
--- a/packages/standins/src/ebonyhaven_standins/slopes/_quantities.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_quantities.py
@@ -1,4 +1,4 @@
-"""The rows that are measured, their units and what a row's points are."""
+"""Measured quantities, their units and how their values follow from the points."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Reading(enum.Enum):
-    """Which part of a fit is the row's value."""
+    """Which part of the fit or which point is the value of a quantity."""
 
     SLOPE = "slope"
     INTERCEPT = "intercept"
@@ -21,7 +21,18 @@
 class Quantity(NamedTuple):
     """A measured quantity.
 
-    ``size_unit`` says what the sizes of the points count.
+    Parameters
+    ----------
+    key : str
+        Key in the JSON file of the results.
+    name : str
+        Name in the table.
+    unit : str
+        Unit of the values.
+    size_unit : str
+        Unit of the sizes of the points.
+    reading : Reading
+        How the value follows from the points.
     """
 
     key: str
@@ -32,7 +43,7 @@
 
 
 class Measurement(NamedTuple):
-    """Points of a row and their fit."""
+    """Measured points of a quantity and their fit."""
 
     quantity: Quantity
     points: list[Point]
@@ -40,7 +51,7 @@
 
     @property
     def value(self) -> float:
-        """The row's value in its unit."""
+        """Value of the quantity in its unit."""
         if self.quantity.reading is Reading.SLOPE:
             return self.fit.slope
         if self.quantity.reading is Reading.LAST:
@@ -261,23 +272,23 @@
         Reading.LAST,
     ),
 )
-QUANTITIES_BY_KEY = {row.key: row for row in QUANTITIES}
+QUANTITIES_BY_KEY = {quantity.key: quantity for quantity in QUANTITIES}
 
 
 def make_measurement(key: str, points: Sequence[Point]) -> Measurement:
-    """Return a measurement with the fit that its row asks for.
+    """Return a measurement with the fit for the quantity's reading.
 
     Parameters
     ----------
     key : str
-        Key of the row.
+        Key of the quantity.
     points : sequence of Point
-        Measured points in order of size.
+        Measured points in increasing order of size.
 
     Returns
     -------
     Measurement
     """
-    row = QUANTITIES_BY_KEY[key]
-    fit = fit_mean(points) if row.reading is Reading.MEAN else fit_line(points)
-    return Measurement(row, list(points), fit)
+    quantity = QUANTITIES_BY_KEY[key]
+    fit = fit_mean(points) if quantity.reading is Reading.MEAN else fit_line(points)
+    return Measurement(quantity, list(points), fit)
--- a/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
@@ -30,7 +30,7 @@
 OPEN_STREAM_COUNTS = (0, 32, 64, 96, 128)
 OPENING_TIMEOUT_S = 30.0
 PROMPT_CHARACTERS = 400
-SLOW_STEP_MS = 50
+DECODE_STEP_MS = 50
 _NODE = "n1"
 
 
@@ -66,7 +66,11 @@
 
 
 def measure_relaying() -> list[Measurement]:
-    """Measure processor time by the length of answers, at the engines' pace."""
+    """Measure processor time per token and per request, at the engines' token rate.
+
+    Both values come from one fit: the slope and the intercept of the processor time
+    per request over the length of the answers.
+    """
     points: list[Point] = []
 
     async def run(reactor: Any) -> None:
@@ -74,8 +78,8 @@
             start_deployment(cluster, _make_deployment(ENGINE_COUNT))
             await _run_batch(reactor, cluster, TOKEN_COUNTS[0])
             for tokens in TOKEN_COUNTS * REPETITIONS:
-                used_s = await _run_batch(reactor, cluster, tokens)
-                points.append(Point(tokens, 1e6 * used_s / STREAMS_PER_BATCH))
+                processor_s = await _run_batch(reactor, cluster, tokens)
+                points.append(Point(tokens, 1e6 * processor_s / STREAMS_PER_BATCH))
 
     _run_reactor(run)
     points.sort()
@@ -93,17 +97,17 @@
     number = random.getrandbits(32)
     requests = [_make_request(number + i, tokens) for i in range(STREAMS_PER_BATCH)]
     records = await defer.gatherResults([caller.complete(item) for item in requests])
-    used_s = read_processor_s(process_id) - before
+    processor_s = read_processor_s(process_id) - before
     if any(record["outcome"] != "completed" for record in records):
-        raise RuntimeError("a request of the measurement did not complete")
-    return used_s
+        raise RuntimeError("a request of the benchmark did not complete")
+    return processor_s
 
 
 def measure_streams() -> list[Measurement]:
-    """Measure resident memory by the number of open streams."""
+    """Measure the resident memory per open stream."""
     points: list[Point] = []
-    options = ("--capacity", "64", "--step-ms", str(SLOW_STEP_MS))
-    options += ("--full-step-ms", str(SLOW_STEP_MS))
+    options = ("--capacity", "64", "--step-ms", str(DECODE_STEP_MS))
+    options += ("--full-step-ms", str(DECODE_STEP_MS))
 
     async def run(reactor: Any) -> None:
         with Cluster() as cluster:
@@ -126,7 +130,9 @@
     deadline = reactor.seconds() + OPENING_TIMEOUT_S
     while sum(bool(record["tokens"]) for record in caller.open_records) < count:
         if reactor.seconds() > deadline:
-            raise RuntimeError(f"{count} streams did not open in time")
+            raise RuntimeError(
+                f"{count} streams did not open within {OPENING_TIMEOUT_S} s"
+            )
         await task.deferLater(reactor, 0.1)
 
 
--- a/packages/standins/src/ebonyhaven_standins/slopes/_tables.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_tables.py
@@ -11,7 +11,7 @@
 
 
 def format_figure(value: float) -> str:
-    """Return a figure with three significant digits, thousands apart."""
+    """Return a number with three significant digits and thousands separators."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -20,25 +20,31 @@
 
 
 def render_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Return a Markdown table."""
+    """Return a Markdown table with a header row."""
     lines = [header, ["---"] * len(header), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
 def render_slopes(measurements: Mapping[str, Measurement]) -> str:
-    """Return the table of measured rows."""
-    return render_table(SLOPE_HEADER, [_render(m) for m in measurements.values()])
+    """Return the table of measured quantities in Markdown.
+
+    Parameters
+    ----------
+    measurements : mapping of str to Measurement
+        Measurements by key, in the order of the table's rows.
+    """
+    return render_table(SLOPE_HEADER, [_render_row(m) for m in measurements.values()])
 
 
 def replace_tables(text: str, tables: Mapping[str, str]) -> str:
-    """Return a page with the tables between its marks replaced.
+    """Return a page with the text between its table markers replaced.
 
     Parameters
     ----------
     text : str
         Page with lines ``<!-- NAME:begin -->`` and ``<!-- NAME:end -->``.
     tables : mapping of str to str
-        Tables by name.
+        Markdown tables by name.
     """
     for name, table in tables.items():
         pattern = rf"(<!-- {name}:begin -->\n).*?(<!-- {name}:end -->)"
@@ -48,21 +54,21 @@
     return text
 
 
-def _render(measurement: Measurement) -> tuple[str, ...]:
-    row, fit = measurement.quantity, measurement.fit
+def _render_row(measurement: Measurement) -> tuple[str, ...]:
+    quantity, fit = measurement.quantity, measurement.fit
     points = "; ".join(
         f"{format_figure(size)}: {format_figure(value)}"
         for size, value in measurement.points
     )
-    reading = row.reading.value
-    if row.reading is Reading.INTERCEPT:
+    reading = quantity.reading.value
+    if quantity.reading is Reading.INTERCEPT:
         reading = "intercept"
     return (
-        row.name,
+        quantity.name,
         format_figure(measurement.value),
-        row.unit,
-        row.size_unit,
+        quantity.unit,
+        quantity.size_unit,
         points,
-        "–" if row.reading is Reading.LAST else f"{fit.error_percent:.1f}%",
+        "–" if quantity.reading is Reading.LAST else f"{fit.error_percent:.1f}%",
         reading,
     )
--- a/packages/standins/src/ebonyhaven_standins/slopes/_target.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_target.py
@@ -1,4 +1,4 @@
-"""The size that the system has to carry, and the limits that it has to keep."""
+"""Target scale of the system, and the limits that apply at that scale."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 TABLE_VALUE_BYTES = 65_536.0
 WHOLE_CORE_PERCENT = 100.0
 
-# Long answers run for two minutes at the target gap, short ones make up the mean.
+# Long answers take two minutes at the target gap between tokens. The length of the
+# short ones follows from the mean.
 LONG_ANSWER_SHARE = 0.08
 LONG_ANSWER_TOKENS = 2000.0
 MEAN_ANSWER_TOKENS = TOKENS_PER_S / REQUESTS_PER_S
@@ -33,9 +34,9 @@
 NOT_REPEATABLE_REQUEST_SHARE = 0.1
 KEPT_RUNS = 512
 LIST_READERS = 2.0
-LIST_READER_PERIOD_S = 2.55
+LIST_READER_PERIOD_S = 2.55  # mean of the jittered 3 s interval
 LIST_REPAIR_PERIOD_S = 2.0 * INSTANCES
-CLUSTER_CONFIGURATION_READS_PER_S = 100.0
+CLUSTER_CONFIGURATION_READS_PER_S = 100.0  # total of all instances
 HEARTBEAT_DIGEST_BYTES = 64.0
 SCRAPE_PERIOD_S = 15.0
 
@@ -43,7 +44,8 @@
 REQUESTS_PER_S_PER_NODE = REQUESTS_PER_S / INSTANCES
 TOKENS_PER_S_PER_NODE = TOKENS_PER_S / INSTANCES
 LIST_ENTRIES = INSTANCES + BACKEND_SERVERS
-# An open stream is met at a random time of its life.
+# At a random time, an open stream is more likely a long one, and on average half of
+# its tokens have been relayed.
 MEAN_KEPT_TOKENS_PER_STREAM = (
     LONG_ANSWER_SHARE * LONG_ANSWER_TOKENS**2
     + (1 - LONG_ANSWER_SHARE) * SHORT_ANSWER_TOKENS**2
