--- a/packages/standins/src/ebonyhaven_standins/bench/_losses.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_losses.py
@@ -121,7 +121,7 @@
     scenario = Scenario(
         arrivals=make_arrivals(seed, tokens),
         actions=[TimedAction(LOSS_S, injector.inject)],
-        limits=CallerLimits(patience_s=0.0 if mode == "restart" else 60.0),
+        limits=CallerLimits(total_timeout_s=0.0 if mode == "restart" else 60.0),
         seed=seed,
     )
     with Cluster() as cluster:
--- a/packages/standins/src/ebonyhaven_standins/bench/_soak.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_soak.py
@@ -158,7 +158,7 @@
         scenario = Scenario(
             arrivals=_draw_arrivals(plan, size, generator),
             actions=actions,
-            limits=CallerLimits(patience_s=PATIENCE_S),
+            limits=CallerLimits(total_timeout_s=PATIENCE_S),
             seed=self._seed,
         )
         with Cluster() as cluster:
--- a/packages/standins/src/ebonyhaven_standins/caller/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/__init__.py
@@ -1,4 +1,4 @@
-"""A caller that behaves well, with a history of what it saw."""
+"""Stand-in for a caller that retries and resumes, and records a history."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     ServerSentEvent,
     TokenEvent,
     parse_event_id,
-    read_token,
+    parse_token_event,
 )
 from ebonyhaven_standins.caller._history import (
     COMPLETED,
@@ -41,5 +41,5 @@
     "derive_prompt_origin",
     "parse_event_id",
     "read_history",
-    "read_token",
+    "parse_token_event",
 ]
--- a/packages/standins/src/ebonyhaven_standins/caller/_caller.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_caller.py
@@ -1,4 +1,4 @@
-"""A caller that behaves as a good client library does."""
+"""Caller that retries and resumes requests as a client library does."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     CUT,
     REFUSED,
     SILENT,
-    ConnectionEnd,
+    ConnectionResult,
     StreamReader,
-    read_outcome,
+    parse_outcome,
 )
 from ebonyhaven_standins.caller._entries import TRANSPORT_ERRORS, EntryList
 from ebonyhaven_standins.caller._events import TokenEvent
@@ -38,18 +38,18 @@
 
 @attrs.define(kw_only=True)
 class CompletionRequest:
-    """What is asked for.
+    """Completion request of a caller.
 
     Parameters
     ----------
     workspace, request_class : str
-        Names of the declaration.
+        Names in the declaration.
     prompt : str
-        Text to continue.
+        Text to complete.
     max_tokens : int
         Length of the answer.
     repeatable : bool
-        Whether the request may run more than once.
+        Whether the request may be executed more than once.
     model : str
         Name of the model.
     key : str
@@ -67,54 +67,55 @@
 
 @attrs.define(kw_only=True)
 class CallerLimits:
-    """How long a caller waits, in seconds.
+    """Timeouts and backoff of a caller, in seconds.
 
     Parameters
     ----------
-    connect_s : float
-        For a connection.
-    answer_s : float
-        For the head of an answer.
-    silence_s : float
-        Between two pieces of a stream.
-    patience_s : float
-        From the first attempt to giving up.
-    first_pause_s, longest_pause_s : float
-        Between two attempts when the answer names no time.
+    connect_timeout_s : float
+        Timeout for establishing a connection.
+    response_timeout_s : float
+        Timeout for the response headers.
+    idle_timeout_s : float
+        Timeout between two chunks of a stream.
+    total_timeout_s : float
+        Time from the first attempt after which no further attempt starts.
+    initial_backoff_s, max_backoff_s : float
+        Limits of the backoff, which doubles with each attempt that yields no token.
+        Used with jitter if the response names no time for the retry.
     """
 
-    connect_s: float = 0.5
-    answer_s: float = 1.5
-    silence_s: float = 1.5
-    patience_s: float = 60.0
-    first_pause_s: float = 0.02
-    longest_pause_s: float = 0.5
+    connect_timeout_s: float = 0.5
+    response_timeout_s: float = 1.5
+    idle_timeout_s: float = 1.5
+    total_timeout_s: float = 60.0
+    initial_backoff_s: float = 0.02
+    max_backoff_s: float = 0.5
 
 
 class Caller:
-    """Sends requests, reconnects elsewhere and records what it saw.
+    """Sends requests, resumes them at other instances and records the history.
 
     Parameters
     ----------
     reactor : object
         Twisted reactor.
-    known_addresses : sequence of str
-        ``IP:PORT`` of instances to ask for the entry list.
+    bootstrap_addresses : sequence of str
+        ``IP:PORT`` of instances from which to fetch the entry list.
     history : HistoryWriter
-        Receives one record a request.
+        Stores one record per request.
     generator : random.Random
-        Source of the jitter of pauses.
+        Source of the jitter of the backoff.
     limits : CallerLimits
-        How long to wait.
+        Timeouts and backoff; by default those of `CallerLimits`.
     sends_received : bool
-        Whether reconnects carry the texts received so far.
+        Whether a resuming request carries the token texts received so far.
     """
 
     def __init__(
         self,
         *,
         reactor: Any,
-        known_addresses: Sequence[str],
+        bootstrap_addresses: Sequence[str],
         history: HistoryWriter,
         generator: random.Random,
         limits: CallerLimits | None = None,
@@ -122,10 +123,10 @@
     ) -> None:
         self._reactor = reactor
         self._limits = limits or CallerLimits()
-        agent = Agent(reactor, connectTimeout=self._limits.connect_s)
+        agent = Agent(reactor, connectTimeout=self._limits.connect_timeout_s)
         self._http = HTTPClient(agent)
         self.entries = EntryList(
-            reactor=reactor, http=self._http, known_addresses=known_addresses
+            reactor=reactor, http=self._http, bootstrap_addresses=bootstrap_addresses
         )
         self._history = history
         self._generator = generator
@@ -133,63 +134,62 @@
         self.open_records: list[RequestRecord] = []
 
     def complete(self, request: CompletionRequest) -> defer.Deferred[RequestRecord]:
-        """Send a request and follow it to its outcome.
+        """Send a request and retry it until it has a final outcome.
 
         Parameters
         ----------
         request : CompletionRequest
-            What is asked for.
 
         Returns
         -------
         Deferred of RequestRecord
-            Fires when the request has completed, was refused for good, or the
-            caller's patience ended.
+            Fires when the request has completed, ended with an outcome that is
+            not to be retried, or exceeded ``total_timeout_s``.
         """
         return defer.Deferred.fromCoroutine(self._complete(request))
 
     async def _complete(self, request: CompletionRequest) -> RequestRecord:
-        record = _begin_record(request)
+        record = _make_record(request)
         self.open_records.append(record)
-        deadline = self._reactor.seconds() + self._limits.patience_s
-        pause_s = self._limits.first_pause_s
+        deadline = self._reactor.seconds() + self._limits.total_timeout_s
+        backoff_s = self._limits.initial_backoff_s
         while True:
             tokens_before = len(record["tokens"])
-            end = await self._attempt(request, record)
+            result = await self._attempt(request, record)
             if len(record["tokens"]) > tokens_before:
-                pause_s = self._limits.first_pause_s
-            if _is_final(end):
-                return self._end_record(record, end.outcome)
-            wait_s = pause_s * (0.5 + self._generator.random())
-            if end.retry_after_s is not None:
-                wait_s = end.retry_after_s
+                backoff_s = self._limits.initial_backoff_s
+            if _is_final(result):
+                return self._finish_record(record, result.outcome)
+            wait_s = backoff_s * (0.5 + self._generator.random())
+            if result.retry_after_s is not None:
+                wait_s = result.retry_after_s
             if self._reactor.seconds() + wait_s > deadline:
-                outcome = end.outcome if end.step else GAVE_UP
-                return self._end_record(record, outcome)
+                outcome = result.outcome if result.step else GAVE_UP
+                return self._finish_record(record, outcome)
             await task.deferLater(self._reactor, wait_s)
-            pause_s = min(2 * pause_s, self._limits.longest_pause_s)
+            backoff_s = min(2 * backoff_s, self._limits.max_backoff_s)
 
     async def _attempt(
         self, request: CompletionRequest, record: RequestRecord
-    ) -> ConnectionEnd:
+    ) -> ConnectionResult:
         address = await self.entries.choose()
-        connection = _begin_connection(address, record)
+        connection = _make_connection_record(address, record)
         record["connections"].append(connection)
         try:
             response = await self._send(address, request, record)
         except TRANSPORT_ERRORS as error:
-            end = ConnectionEnd(outcome=REFUSED, reason=type(error).__name__)
+            result = ConnectionResult(outcome=REFUSED, reason=type(error).__name__)
         else:
             connection["answered_at"] = time.time()
             connection["status"] = response.code
-            end = await self._read(response, record)
-        if end.outcome in {REFUSED, SILENT, CUT}:
+            result = await self._read_response(response, record)
+        if result.outcome in {REFUSED, SILENT, CUT}:
             self.entries.mark_failed(address)
         connection["ended_at"] = time.time()
-        connection["outcome"] = end.outcome
-        connection["step"], connection["peer"] = end.step, end.peer
-        connection["reason"] = end.reason
-        return end
+        connection["outcome"] = result.outcome
+        connection["step"], connection["peer"] = result.step, result.peer
+        connection["reason"] = result.reason
+        return result
 
     def _send(
         self, address: str, request: CompletionRequest, record: RequestRecord
@@ -221,28 +221,32 @@
             headers=headers,
             unbuffered=True,
         )
-        return sent.addTimeout(self._limits.answer_s, self._reactor)
+        return sent.addTimeout(self._limits.response_timeout_s, self._reactor)
 
-    async def _read(self, response: Any, record: RequestRecord) -> ConnectionEnd:
+    async def _read_response(
+        self, response: Any, record: RequestRecord
+    ) -> ConnectionResult:
         if response.code != 200:
             try:
                 content = await treq.content(response)
             except TRANSPORT_ERRORS:
-                return ConnectionEnd(outcome=CUT)
-            return read_outcome(content)
+                return ConnectionResult(outcome=CUT)
+            return parse_outcome(content)
 
-        def take(token: TokenEvent) -> None:
+        def record_token(token: TokenEvent) -> None:
             _add_token(record, token)
 
         reader = StreamReader(
-            reactor=self._reactor, silence_s=self._limits.silence_s, on_token=take
+            reactor=self._reactor,
+            idle_timeout_s=self._limits.idle_timeout_s,
+            on_token=record_token,
         )
         response.deliverBody(reader)
-        end = await reader.end
+        result = await reader.result
         record["position"] = reader.last_event_id or record["position"]
-        return end
+        return result
 
-    def _end_record(self, record: RequestRecord, outcome: str) -> RequestRecord:
+    def _finish_record(self, record: RequestRecord, outcome: str) -> RequestRecord:
         record["finished_at"] = time.time()
         record["outcome"] = outcome
         self.open_records.remove(record)
@@ -250,13 +254,13 @@
         return record
 
 
-def _is_final(end: ConnectionEnd) -> bool:
-    if end.outcome == COMPLETED:
+def _is_final(result: ConnectionResult) -> bool:
+    if result.outcome == COMPLETED:
         return True
-    return bool(end.step) and end.retry_after_s is None
+    return bool(result.step) and result.retry_after_s is None
 
 
-def _begin_record(request: CompletionRequest) -> RequestRecord:
+def _make_record(request: CompletionRequest) -> RequestRecord:
     return {
         "workspace": request.workspace,
         "request_class": request.request_class,
@@ -275,7 +279,7 @@
     }
 
 
-def _begin_connection(address: str, record: RequestRecord) -> ConnectionRecord:
+def _make_connection_record(address: str, record: RequestRecord) -> ConnectionRecord:
     last_event_id = record["position"]
     if record["tokens"]:
         token = record["tokens"][-1]
--- a/packages/standins/src/ebonyhaven_standins/caller/_connection.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_connection.py
@@ -1,4 +1,4 @@
-"""One connection that carries a request and its stream of events."""
+"""Result of a connection and the reader of its event stream."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from twisted.web import http
 
 from ebonyhaven_standins.caller._events import (
-    DONE,
+    DONE_DATA,
     EventParser,
     ServerSentEvent,
     TokenEvent,
-    read_token,
+    parse_token_event,
 )
 
 SILENT = "silent"
@@ -26,18 +26,19 @@
 
 
 @attrs.define(kw_only=True)
-class ConnectionEnd:
-    """How a connection ended.
+class ConnectionResult:
+    """Result of one connection.
 
     Parameters
     ----------
     outcome : str
-        ``completed``, an outcome tag of the answer, ``refused``, ``silent`` or
-        ``cut``.
+        ``completed``; the outcome tag of an error response; ``untagged`` for an
+        error response without a valid tag; ``refused`` if there was no response;
+        ``silent`` after the idle timeout; ``cut`` if the body ended early.
     step, peer, reason : str
-        Where and why, as far as the answer said.
+        Failed step, its peer and the reason; empty where the response has none.
     retry_after_s : float or None
-        Seconds to wait before the next attempt, when the answer said so.
+        Time before the next attempt in seconds; None if the response has none.
     """
 
     outcome: str
@@ -47,11 +48,11 @@
     retry_after_s: float | None = None
 
 
-def read_outcome(content: bytes | str) -> ConnectionEnd:
-    """Return the tagged outcome in an error body or error event."""
+def parse_outcome(content: bytes | str) -> ConnectionResult:
+    """Return the outcome tag in the content of an error response or error event."""
     try:
         fields = json.loads(content)["error"]
-        return ConnectionEnd(
+        return ConnectionResult(
             outcome=fields["outcome"],
             step=fields["step"],
             peer=fields["peer"],
@@ -59,84 +60,93 @@
             retry_after_s=fields.get("retry_after_s"),
         )
     except (ValueError, KeyError, TypeError):
-        return ConnectionEnd(outcome="untagged", reason=repr(content[:200]))
+        return ConnectionResult(outcome="untagged", reason=repr(content[:200]))
 
 
 class StreamReader(protocol.Protocol):
-    """Reads the body of a streamed answer and watches for silence.
+    """Parses the body of a streamed response, with an idle timeout.
 
     Parameters
     ----------
     reactor : twisted.internet.interfaces.IReactorTime
         Clock.
-    silence_s : float
-        Seconds without a byte after which the connection is given up.
+    idle_timeout_s : float
+        Time without received data after which the connection is closed.
     on_token : callable
         Called with each `TokenEvent` in order of arrival.
+
+    Attributes
+    ----------
+    result : Deferred of ConnectionResult
+        Fires when the stream has ended.
     """
 
     def __init__(
         self,
         *,
         reactor: Any,
-        silence_s: float,
+        idle_timeout_s: float,
         on_token: Callable[[TokenEvent], None],
     ) -> None:
         self._reactor = reactor
-        self._silence_s = silence_s
+        self._idle_timeout_s = idle_timeout_s
         self._on_token = on_token
         self._parser = EventParser()
         self._timer: Any = None
-        self._finished = False
-        self.end: defer.Deferred[ConnectionEnd] = defer.Deferred()
+        self._has_finish_reason = False
+        self.result: defer.Deferred[ConnectionResult] = defer.Deferred()
 
     @property
     def last_event_id(self) -> str | None:
-        """Id of the last event received, also of one without data."""
+        """Id of the last event received, including events without data."""
         return self._parser.last_event_id
 
-    def connectionMade(self) -> None:  # noqa: N802 name set by Twisted
-        """Start to watch for silence."""
-        self._timer = self._reactor.callLater(self._silence_s, self._give_up)
+    def connectionMade(self) -> None:  # noqa: N802 name given by Twisted
+        """Start the idle timer."""
+        self._timer = self._reactor.callLater(
+            self._idle_timeout_s, self._handle_idle_timeout
+        )
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Hand on the tokens in the next bytes."""
-        if self.end.called:
+        """Restart the idle timer and process the received events."""
+        if self.result.called:
             return
-        self._timer.reset(self._silence_s)
+        self._timer.reset(self._idle_timeout_s)
         for event in self._parser.feed(data):
-            self._take(event)
+            self._handle_event(event)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:  # noqa: N802
-        """Report the end of the body."""
+        """Set the result to ``cut`` unless the stream has already ended."""
         kind = getattr(reason, "type", None)
         clean = kind in {web_client.ResponseDone, http.PotentialDataLoss}
-        self._finish(ConnectionEnd(outcome=CUT, reason=f"clean={clean}"))
+        self._finish(ConnectionResult(outcome=CUT, reason=f"clean={clean}"))
 
     def close(self) -> None:
-        """Close the connection."""
+        """Stop the idle timer and close the connection."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         if self.transport is not None:
             self.transport.loseConnection()
 
-    def _take(self, event: ServerSentEvent) -> None:
+    def _handle_event(self, event: ServerSentEvent) -> None:
         if event.kind == "error":
-            self._finish(read_outcome(event.data))
-        elif event.data == DONE:
-            if not self._finished:
-                self._finish(ConnectionEnd(outcome=CUT, reason="DONE before finish"))
-            self._finish(ConnectionEnd(outcome="completed"))
+            self._finish(parse_outcome(event.data))
+        elif event.data == DONE_DATA:
+            if not self._has_finish_reason:
+                self._finish(ConnectionResult(outcome=CUT, reason="DONE before finish"))
+            self._finish(ConnectionResult(outcome="completed"))
         else:
-            token = read_token(event)
-            self._finished = self._finished or token.finish_reason is not None
+            token = parse_token_event(event)
+            self._has_finish_reason = (
+                self._has_finish_reason or token.finish_reason is not None
+            )
             self._on_token(token)
 
-    def _give_up(self) -> None:
-        self._finish(ConnectionEnd(outcome=SILENT))
+    def _handle_idle_timeout(self) -> None:
+        self._finish(ConnectionResult(outcome=SILENT))
 
-    def _finish(self, end: ConnectionEnd) -> None:
-        if self.end.called:
+    def _finish(self, result: ConnectionResult) -> None:
+        if self.result.called:
             return
-        self.end.callback(end)
+        self.result.callback(result)
         self.close()
--- a/packages/standins/src/ebonyhaven_standins/caller/_entries.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_entries.py
@@ -1,4 +1,4 @@
-"""The list of addresses that the system gave out, kept for a while."""
+"""Cached list of the addresses of instances that accept requests."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from twisted.internet import defer, error
 from twisted.web import client as web_client
 
-REQUEST_DEADLINE_S = 1.0
-AVOID_FAILED_S = 5.0
+REQUEST_TIMEOUT_S = 1.0
+FAILED_ADDRESS_COOLDOWN_S = 5.0
 TRANSPORT_ERRORS = (
     error.ConnectError,
     error.ConnectingCancelledError,
@@ -24,55 +24,60 @@
 
 
 class EntryList:
-    """Ranked addresses with the time to which they may be kept.
+    """Ranked addresses of instances, cached for the time that the server names.
 
     Parameters
     ----------
     reactor : twisted.internet.interfaces.IReactorTime
         Clock and sockets.
     http : treq.client.HTTPClient
-        Client for the question.
-    known_addresses : sequence of str
-        ``IP:PORT`` of instances to ask when the list holds none that works.
+        Client that fetches the list.
+    bootstrap_addresses : sequence of str
+        ``IP:PORT`` of instances from which to fetch the list if it has no usable
+        address.
     """
 
     __slots__ = (
         "_addresses",
+        "_bootstrap_addresses",
         "_expires_at",
         "_failed_at",
         "_http",
-        "_known",
         "_reactor",
-        "refreshes",
+        "refresh_count",
     )
 
     def __init__(
-        self, *, reactor: Any, http: Any, known_addresses: Sequence[str]
+        self, *, reactor: Any, http: Any, bootstrap_addresses: Sequence[str]
     ) -> None:
         self._reactor = reactor
         self._http = http
-        self._known = list(known_addresses)
+        self._bootstrap_addresses = list(bootstrap_addresses)
         self._addresses: list[str] = []
         self._expires_at = 0.0
         self._failed_at: dict[str, float] = {}
-        self.refreshes = 0
+        self.refresh_count = 0
 
     async def choose(self) -> str:
-        """Return the first address of the list that did not fail of late."""
-        if not self._usable() or self._reactor.seconds() >= self._expires_at:
+        """Return the best address that has not failed recently.
+
+        Refreshes an expired list. If all addresses have failed recently, returns the
+        one whose failure is the oldest.
+        """
+        if not self._list_usable() or self._reactor.seconds() >= self._expires_at:
             await self._refresh()
-        usable = self._usable()
+        usable = self._list_usable()
         if usable:
             return usable[0]
-        candidates = self._addresses or self._known
+        candidates = self._addresses or self._bootstrap_addresses
         return min(candidates, key=lambda item: self._failed_at.get(item, 0.0))
 
     def mark_failed(self, address: str) -> None:
-        """Keep away from an address for a few seconds."""
+        """Avoid an address for `FAILED_ADDRESS_COOLDOWN_S` after a failure."""
         self._failed_at[address] = self._reactor.seconds()
 
-    def _usable(self) -> list[str]:
-        limit = self._reactor.seconds() - AVOID_FAILED_S
+    def _list_usable(self) -> list[str]:
+        limit = self._reactor.seconds() - FAILED_ADDRESS_COOLDOWN_S
         return [
             address
             for address in self._addresses
@@ -80,26 +85,28 @@
         ]
 
     async def _refresh(self) -> None:
-        candidates = list(dict.fromkeys([*self._usable(), *self._known]))
+        candidates = list(
+            dict.fromkeys([*self._list_usable(), *self._bootstrap_addresses])
+        )
         candidates.sort(key=lambda item: self._failed_at.get(item, 0.0))
         for address in candidates:
             try:
-                answer = await self._ask(address)
+                answer = await self._fetch_entries(address)
             except TRANSPORT_ERRORS:
                 self.mark_failed(address)
                 continue
             if answer is not None:
-                self._keep(answer)
+                self._store_entries(answer)
                 return
 
-    async def _ask(self, address: str) -> Any:
+    async def _fetch_entries(self, address: str) -> Any:
         response = await self._http.get(
-            f"http://{address}/v1/entries", timeout=REQUEST_DEADLINE_S
+            f"http://{address}/v1/entries", timeout=REQUEST_TIMEOUT_S
         )
         content = await response.json()
         return content if response.code == 200 else None
 
-    def _keep(self, answer: Any) -> None:
+    def _store_entries(self, answer: Any) -> None:
         self._addresses = [entry["address"] for entry in answer["entries"]]
         self._expires_at = self._reactor.seconds() + answer["keep_s"]
-        self.refreshes += 1
+        self.refresh_count += 1
--- a/packages/standins/src/ebonyhaven_standins/caller/_events.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_events.py
@@ -1,15 +1,15 @@
-"""Incremental parsing of server-sent events."""
+"""Incremental parser of server-sent events."""
 
 from __future__ import annotations
 
 import json
 from typing import NamedTuple
 
-DONE = "[DONE]"
+DONE_DATA = "[DONE]"
 
 
 class ServerSentEvent(NamedTuple):
-    """One event of a stream, before its data is read."""
+    """One event of a stream, with undecoded data."""
 
     event_id: str
     kind: str
@@ -17,7 +17,7 @@
 
 
 class EventId(NamedTuple):
-    """Parts of the id of a token event."""
+    """Fields of the id of a token event."""
 
     offset: int
     generation: str
@@ -25,7 +25,7 @@
 
 
 class TokenEvent(NamedTuple):
-    """One token, or the end of the answer when ``finish_reason`` is set."""
+    """One token, or the end of the answer if ``finish_reason`` is set."""
 
     event_id: EventId
     text: str
@@ -33,24 +33,24 @@
 
 
 def parse_event_id(text: str) -> EventId:
-    """Return the parts of ``OFFSET-GENERATION-SERVER``.
+    """Parse an id of the form ``OFFSET-GENERATION-SERVER``.
 
     Raises
     ------
     ValueError
-        If the text has another form.
+        If the id is malformed.
     """
     offset, generation, server = text.split("-", 2)
     return EventId(int(offset), generation, server)
 
 
-def read_token(event: ServerSentEvent) -> TokenEvent:
-    """Return the token that an event carries.
+def parse_token_event(event: ServerSentEvent) -> TokenEvent:
+    """Parse the token in an event.
 
     Raises
     ------
     ValueError, KeyError, IndexError
-        If the id or the data has another form than docs/PROTOCOLS.md says.
+        If the id or the data does not conform to docs/PROTOCOLS.md.
     """
     choice = json.loads(event.data)["choices"][0]
     return TokenEvent(
@@ -59,32 +59,32 @@
 
 
 class EventParser:
-    """Turns received bytes into events.
+    """Parses received bytes into events.
 
-    The line of an event's end may arrive in any chunk; lines end with a line
-    feed, with or without a carriage return before it.
+    Chunks may split lines and events at any byte. Lines end with a line feed,
+    optionally preceded by a carriage return.
     """
 
-    __slots__ = ("_data", "_event_id", "_kind", "_rest", "last_event_id")
+    __slots__ = ("_data", "_event_id", "_kind", "_partial_line", "last_event_id")
 
     def __init__(self) -> None:
         self.last_event_id: str | None = None
-        self._rest = b""
+        self._partial_line = b""
         self._clear()
 
     def feed(self, chunk: bytes) -> list[ServerSentEvent]:
-        """Return the events that a chunk completes.
+        """Return the events that are completed by a chunk.
 
         Parameters
         ----------
         chunk : bytes
             Next bytes of the body.
         """
-        lines = (self._rest + chunk).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._partial_line + chunk).split(b"\n")
+        self._partial_line = lines.pop()
         events = []
         for line in lines:
-            event = self._take_line(line.rstrip(b"\r").decode())
+            event = self._parse_line(line.rstrip(b"\r").decode())
             if event is not None:
                 events.append(event)
         return events
@@ -94,9 +94,9 @@
         self._kind = "message"
         self._data: list[str] = []
 
-    def _take_line(self, line: str) -> ServerSentEvent | None:
+    def _parse_line(self, line: str) -> ServerSentEvent | None:
         if not line:
-            return self._end_event()
+            return self._dispatch_event()
         field, _, value = line.partition(":")
         value = value.removeprefix(" ")
         if field == "id":
@@ -107,7 +107,7 @@
             self._data.append(value)
         return None
 
-    def _end_event(self) -> ServerSentEvent | None:
+    def _dispatch_event(self) -> ServerSentEvent | None:
         event = None
         if self._event_id:
             self.last_event_id = self._event_id
--- a/packages/standins/src/ebonyhaven_standins/caller/_history.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_history.py
@@ -1,4 +1,4 @@
-"""What a caller saw, one JSON object a request."""
+"""History of a caller: one JSON object per request."""
 
 from __future__ import annotations
 
@@ -9,16 +9,20 @@
 
 COMPLETED = "completed"
 GAVE_UP = "gave_up"
-PROMPT_DIGITS = 6
+PROMPT_ORIGIN_DIGITS = 6
 
 
 def derive_prompt_origin(prompt: str) -> str:
-    """Return the digits by which engines name a prompt in their tokens."""
-    return hashlib.sha256(prompt.encode()).hexdigest()[:PROMPT_DIGITS]
+    """Return the hash digits of a prompt with which its token texts start."""
+    return hashlib.sha256(prompt.encode()).hexdigest()[:PROMPT_ORIGIN_DIGITS]
 
 
 class ReceivedToken(NamedTuple):
-    """One token event at the caller; ``time`` in seconds since the epoch."""
+    """One token event that a caller received.
+
+    ``time`` is in seconds since the epoch; ``connection`` is an index into the
+    connections of the request.
+    """
 
     time: float
     connection: int
@@ -29,10 +33,9 @@
 
 
 class ConnectionRecord(TypedDict):
-    """One connection that a request used.
+    """One connection of a request.
 
-    ``outcome`` is the tag with which the connection ended: ``completed``, an
-    outcome of the answer, ``refused`` (no connection), ``silent`` or ``cut``.
+    ``outcome`` is that of `ConnectionResult`. Times are in seconds since the epoch.
     """
 
     address: str
@@ -48,7 +51,12 @@
 
 
 class RequestRecord(TypedDict):
-    """One request from its first connection to its outcome."""
+    """One request with its connections and received tokens.
+
+    ``position`` is the id of the last event received, also of one without a token;
+    ``finish_offset`` is the offset of the finish event. ``outcome`` is that of the
+    last connection, or ``gave_up`` if it failed without an outcome tag.
+    """
 
     workspace: str
     request_class: str
--- a/packages/standins/src/ebonyhaven_standins/checker/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/__init__.py
@@ -1,4 +1,4 @@
-"""Checks callers' histories against the execution logs of backend servers."""
+"""Checks the histories of callers against the execution logs of backend servers."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/ebonyhaven_standins/checker/_answers.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_answers.py
@@ -1,23 +1,23 @@
-"""Checks of answers: whole, once, of one run and of the own request."""
+"""Checks that an answer is complete, without repeats and from the right run."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
 from ebonyhaven_standins.caller import COMPLETED, ReceivedToken, RequestRecord
-from ebonyhaven_standins.checker._logs import PROMPT_DIGITS, Evidence, LogLine
+from ebonyhaven_standins.checker._logs import PROMPT_ORIGIN_DIGITS, Evidence, LogLine
 from ebonyhaven_standins.checker._violations import Violation, ViolationKind
 
 
 def check_answers(evidence: Evidence) -> Iterator[Violation]:
-    """Yield the violations in what callers received."""
+    """Yield the violations in the answers that callers received."""
     lines = evidence.group_lines()
     for record in evidence.records:
         yield from _check_offsets(record)
         yield from _check_texts(record)
         yield from _check_origins(record)
-        yield from _check_end(record, lines.get(record["prompt_origin"], []))
-        yield from _check_tags(record)
+        yield from _check_finish(record, lines.get(record["prompt_origin"], []))
+        yield from _check_untagged_errors(record)
 
 
 def _check_offsets(record: RequestRecord) -> Iterator[Violation]:
@@ -29,14 +29,14 @@
             )
             continue
         if token.offset > expected:
-            yield _report_missing(record, expected, token.offset)
+            yield _make_missing_violation(record, expected, token.offset)
         expected = token.offset + 1
     finish = record["finish_offset"]
     if record["outcome"] == COMPLETED and finish != expected:
-        yield _report_missing(record, expected, finish or 0)
+        yield _make_missing_violation(record, expected, finish or 0)
 
 
-def _report_missing(record: RequestRecord, first: int, end: int) -> Violation:
+def _make_missing_violation(record: RequestRecord, first: int, end: int) -> Violation:
     return Violation(
         ViolationKind.MISSING_TOKEN,
         record["key"],
@@ -70,13 +70,13 @@
             f"origins {sorted(origins)}, generations {sorted(generations)}",
         )
     for origin in sorted(origins):
-        if origin[:PROMPT_DIGITS] != record["prompt_origin"]:
+        if origin[:PROMPT_ORIGIN_DIGITS] != record["prompt_origin"]:
             yield Violation(
                 ViolationKind.FOREIGN_ANSWER, record["key"], f"origin {origin}"
             )
 
 
-def _check_end(record: RequestRecord, lines: list[LogLine]) -> Iterator[Violation]:
+def _check_finish(record: RequestRecord, lines: list[LogLine]) -> Iterator[Violation]:
     if record["outcome"] != COMPLETED or not record["tokens"]:
         return
     origin = _read_origin(record["tokens"][-1])
@@ -93,7 +93,7 @@
         )
 
 
-def _check_tags(record: RequestRecord) -> Iterator[Violation]:
+def _check_untagged_errors(record: RequestRecord) -> Iterator[Violation]:
     for connection in record["connections"]:
         if connection["outcome"] == "untagged":
             yield Violation(
--- a/packages/standins/src/ebonyhaven_standins/checker/_branches.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_branches.py
@@ -1,4 +1,4 @@
-"""Check that an answer follows one line of continuations."""
+"""Check that an answer does not mix diverged continuations of a run."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def check_branches(evidence: Evidence) -> Iterator[Violation]:
-    """Yield the answers that join two diverged continuations of one generation.
+    """Yield the answers that mix two diverged continuations of one generation.
 
-    An engine that continued a run from offset M computes its token K from its own
-    tokens M to K - 1. A caller that takes token K of that engine must hold those
-    very tokens; holding another engine's for them is a mix of two outputs, even
-    though both belong to one generation.
+    An engine that continued a run at offset M computes token K from the tokens M to
+    K - 1 that it generated itself. A caller that receives token K from that engine
+    must have received those same tokens. If it received them from another engine,
+    the answer mixes two outputs, although both have the same generation.
 
     Parameters
     ----------
@@ -37,16 +37,18 @@
     record: RequestRecord, branches: list[LogLine]
 ) -> Iterator[Violation]:
     tokens = record["tokens"]
-    for before, token in zip(tokens, tokens[1:], strict=False):
-        if before.server == token.server:
+    for previous, token in zip(tokens, tokens[1:], strict=False):
+        if previous.server == token.server:
             continue
         offsets = _list_branch_offsets(token, branches)
-        if offsets and all(_holds_others(tokens, first, token) for first in offsets):
+        if offsets and all(
+            _received_from_another(tokens, first, token) for first in offsets
+        ):
             yield Violation(
                 ViolationKind.MIXED_ANSWER,
                 record["key"],
-                f"token {token.offset} of {token.server} follows its own tokens from "
-                f"{offsets[-1]} on, which the caller did not receive",
+                f"token {token.offset} of {token.server} continues the tokens that it "
+                f"generated from {offsets[-1]} on, which the caller did not receive",
             )
 
 
@@ -61,10 +63,10 @@
     ]
 
 
-def _holds_others(
+def _received_from_another(
     tokens: list[ReceivedToken], first: int, token: ReceivedToken
 ) -> bool:
     return any(
-        first <= held.offset < token.offset and held.server != token.server
-        for held in tokens
+        first <= other.offset < token.offset and other.server != token.server
+        for other in tokens
     )
--- a/packages/standins/src/ebonyhaven_standins/checker/_control.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_control.py
@@ -1,4 +1,4 @@
-"""Checks of shutdowns and of configurations coming into force."""
+"""Checks of instance shutdowns and of the propagation of configurations."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 )
 from ebonyhaven_standins.checker._violations import Violation, ViolationKind
 
-CONFIGURATION_LIMIT_S = 9.0
-_UNBROKEN = frozenset({"completed", "not_run"})
+CONFIGURATION_DELAY_LIMIT_S = 9.0
+_UNINTERRUPTED_OUTCOMES = frozenset({"completed", "not_run"})
 
 
-def check_control(evidence: Evidence) -> Iterator[Violation]:
-    """Yield cut requests and configurations that were late or reverted."""
+def check_control_plane(evidence: Evidence) -> Iterator[Violation]:
+    """Yield requests cut by a shutdown and late or reverted configurations."""
     for event in evidence.timeline:
         if event.kind is TimelineKind.INSTANCE_TERMINATED:
             yield from _check_shutdown(event, evidence)
@@ -27,16 +27,18 @@
         if event.kind is TimelineKind.CONFIGURATION_SEEN:
             seen[event.name].append(event)
     for name, samples in seen.items():
-        yield from _check_order(name, samples)
+        yield from _check_version_order(name, samples)
         for event in evidence.timeline:
             if event.kind is TimelineKind.CONFIGURATION_ACCEPTED:
-                yield from _check_arrival(name, samples, event)
+                yield from _check_propagation(name, samples, event)
 
 
 def _check_shutdown(event: TimelineEvent, evidence: Evidence) -> Iterator[Violation]:
     for record in evidence.records:
         for connection in record["connections"]:
-            if connection["address"] == event.name and _is_cut(connection, event.time):
+            if connection["address"] == event.name and _is_interrupted(
+                connection, event.time
+            ):
                 yield Violation(
                     ViolationKind.CUT_BY_SHUTDOWN,
                     record["key"],
@@ -44,29 +46,32 @@
                 )
 
 
-def _is_cut(connection: ConnectionRecord, at: float) -> bool:
+def _is_interrupted(connection: ConnectionRecord, at: float) -> bool:
     ended_at = connection["ended_at"]
-    open_then = connection["sent_at"] < at and (ended_at is None or ended_at > at)
-    never_accepted = connection["reason"] == "ConnectionRefusedError"
-    unbroken = connection["outcome"] in _UNBROKEN
-    return open_then and not never_accepted and not unbroken
+    was_open = connection["sent_at"] < at and (ended_at is None or ended_at > at)
+    was_refused = connection["reason"] == "ConnectionRefusedError"
+    uninterrupted = connection["outcome"] in _UNINTERRUPTED_OUTCOMES
+    return was_open and not was_refused and not uninterrupted
 
 
-def _check_order(name: str, samples: list[TimelineEvent]) -> Iterator[Violation]:
-    for before, after in zip(samples, samples[1:], strict=False):
-        if after.version < before.version:
+def _check_version_order(
+    name: str, samples: list[TimelineEvent]
+) -> Iterator[Violation]:
+    for previous, sample in zip(samples, samples[1:], strict=False):
+        if sample.version < previous.version:
             yield Violation(
                 ViolationKind.CONFIGURATION_REVERTED,
                 name,
-                f"version {before.version} then {after.version}",
+                f"version {previous.version} then {sample.version}",
             )
 
 
-def _check_arrival(
+def _check_propagation(
     name: str, samples: list[TimelineEvent], accepted: TimelineEvent
 ) -> Iterator[Violation]:
-    # A process that started later has the same time from its first sample on.
-    limit = max(accepted.time, samples[0].time) + CONFIGURATION_LIMIT_S
+    # For a process that started after the acceptance, the limit counts from its first
+    # sample.
+    limit = max(accepted.time, samples[0].time) + CONFIGURATION_DELAY_LIMIT_S
     for sample in samples:
         if sample.time > limit and sample.version < accepted.version:
             yield Violation(
--- a/packages/standins/src/ebonyhaven_standins/checker/_logs.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_logs.py
@@ -1,4 +1,4 @@
-"""Execution logs of backend servers and the timeline of a run."""
+"""Inputs of the checks: execution logs, timeline and callers' records."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 
 from ebonyhaven_standins.caller import RequestRecord
 
-PROMPT_DIGITS = 6
+PROMPT_ORIGIN_DIGITS = 6
 
 
 class LogLine(NamedTuple):
-    """One line of an execution log; token counts since the line before."""
+    """One line of an execution log.
+
+    Token counts cover the time since the previous line of the same run.
+    """
 
     time: float
     server: str
@@ -29,7 +32,7 @@
 
 
 class TimelineKind(enum.StrEnum):
-    """What a test or tool did, or saw, at a time."""
+    """Kind of an action or observation of a test or tool."""
 
     ENGINE_KILLED = "engine_killed"
     INSTANCE_KILLED = "instance_killed"
@@ -43,9 +46,9 @@
 class TimelineEvent(NamedTuple):
     """One event of a timeline.
 
-    ``name`` is a backend server, the caller address of an instance, or for
-    ``CONFIGURATION_SEEN`` an instance and its incarnation; ``version`` is that
-    of a configuration.
+    ``name`` identifies a backend server, the caller address of an instance or, for
+    ``CONFIGURATION_SEEN``, an instance and its incarnation. ``version`` is the
+    version of a configuration.
     """
 
     time: float
@@ -55,7 +58,7 @@
 
 
 class Timeline:
-    """Collects timeline events as they happen."""
+    """Records timeline events in chronological order."""
 
     __slots__ = ("events",)
 
@@ -63,29 +66,29 @@
         self.events: list[TimelineEvent] = []
 
     def add(self, kind: TimelineKind, name: str, *, version: int = 0) -> float:
-        """Record an event at the present time and return that time."""
+        """Record an event and return its time, in seconds since the epoch."""
         now = time.time()
         self.events.append(TimelineEvent(now, kind, name, version))
         return now
 
 
 class Evidence(NamedTuple):
-    """Everything that the checks read."""
+    """Records of callers, log lines of backend servers and the timeline."""
 
     records: list[RequestRecord]
     lines: list[LogLine]
     timeline: list[TimelineEvent]
 
     def group_lines(self) -> dict[str, list[LogLine]]:
-        """Return the log lines of runs by the prompt's digits, in order."""
+        """Return the log lines by prompt origin, in chronological order."""
         groups: dict[str, list[LogLine]] = defaultdict(list)
         for line in self.lines:
             if line.origin:
-                groups[line.origin[:PROMPT_DIGITS]].append(line)
+                groups[line.origin[:PROMPT_ORIGIN_DIGITS]].append(line)
         return groups
 
     def group_records(self) -> dict[str, list[RequestRecord]]:
-        """Return the callers' records by the prompt's digits."""
+        """Return the callers' records by prompt origin."""
         groups: dict[str, list[RequestRecord]] = defaultdict(list)
         for record in self.records:
             groups[record["prompt_origin"]].append(record)
@@ -93,14 +96,14 @@
 
 
 def read_execution_logs(paths: Iterable[pathlib.Path]) -> list[LogLine]:
-    """Return the lines of execution logs in order of time.
+    """Return the lines of execution logs in chronological order.
 
-    A last line that a kill cut short is left out.
+    Omits an incomplete last line, as a killed process may leave behind.
 
     Parameters
     ----------
     paths : iterable of pathlib.Path
-        Files; absent ones are skipped.
+        Log files; missing files are skipped.
     """
     lines = []
     for path in paths:
--- a/packages/standins/src/ebonyhaven_standins/checker/_report.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_report.py
@@ -1,4 +1,4 @@
-"""The report of all checks and measures."""
+"""Report of all checks and measures."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ebonyhaven_standins.caller import COMPLETED
 from ebonyhaven_standins.checker._answers import check_answers
 from ebonyhaven_standins.checker._branches import check_branches
-from ebonyhaven_standins.checker._control import check_control
+from ebonyhaven_standins.checker._control import check_control_plane
 from ebonyhaven_standins.checker._logs import Evidence
 from ebonyhaven_standins.checker._measures import (
     LatencySummary,
@@ -21,7 +21,11 @@
 
 
 class Report(NamedTuple):
-    """What the checks found."""
+    """Violations and measures of one set of evidence.
+
+    ``requests`` and ``completed`` are numbers of requests, ``unresumed`` is a number
+    of streams.
+    """
 
     requests: int
     completed: int
@@ -31,21 +35,21 @@
     extra_resource_ratio: float
 
     @property
-    def holds(self) -> bool:
-        """Whether no promise was broken."""
+    def passed(self) -> bool:
+        """Whether the checks found no violation."""
         return not self.violations
 
     def count(self, kind: ViolationKind) -> int:
-        """Return how many tokens, runs or events a kind covers."""
+        """Return the number of tokens, runs or events in violations of a kind."""
         return sum(item.count for item in self.violations if item.kind is kind)
 
     def summarize(self) -> dict[str, Any]:
-        """Return the figures as one JSON object."""
+        """Return the figures of the report as a JSON object."""
         latency = self.resume_latency
         others = {
             kind.value: self.count(kind)
             for kind in ViolationKind
-            if kind not in _NAMED_FIGURES
+            if kind not in _TOP_LEVEL_KINDS
         }
         return {
             "requests": self.requests,
@@ -66,7 +70,7 @@
         }
 
 
-_NAMED_FIGURES = frozenset(
+_TOP_LEVEL_KINDS = frozenset(
     {
         ViolationKind.MISSING_TOKEN,
         ViolationKind.REPEATED_TOKEN,
@@ -82,7 +86,7 @@
     Parameters
     ----------
     evidence : Evidence
-        Histories of callers, execution logs and the timeline.
+        Histories of callers, execution logs and timeline.
 
     Returns
     -------
@@ -92,7 +96,7 @@
         *check_answers(evidence),
         *check_branches(evidence),
         *check_runs(evidence),
-        *check_control(evidence),
+        *check_control_plane(evidence),
     ]
     completed = sum(item["outcome"] == COMPLETED for item in evidence.records)
     return Report(
--- a/packages/standins/src/ebonyhaven_standins/checker/_runs.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_runs.py
@@ -1,4 +1,4 @@
-"""Checks of what ran: proved refusals, single runs and leaving servers."""
+"""Checks of executed runs: ``not_run`` outcomes, single runs, leaving servers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 )
 from ebonyhaven_standins.checker._violations import Violation, ViolationKind
 
-LEAVING_LIMIT_S = 5.0
+LEAVING_GRACE_S = 5.0
 _WORK_EVENTS = frozenset({"start", "continue"})
 
 
 def check_runs(evidence: Evidence) -> Iterator[Violation]:
-    """Yield the violations in what backend servers ran."""
+    """Yield the violations in the runs that backend servers executed."""
     lines = evidence.group_lines()
     for origin, records in evidence.group_records().items():
         starts = [line for line in lines.get(origin, []) if line.event == "start"]
@@ -38,15 +38,15 @@
         if refusal["outcome"] != "not_run" or refused_at is None:
             continue
         for start in starts:
-            asked_again = any(
+            was_resubmitted = any(
                 refused_at < item["sent_at"] <= start.time for item in connections
             )
-            if start.time <= refused_at or not asked_again:
+            if start.time <= refused_at or not was_resubmitted:
                 yield Violation(
                     ViolationKind.FALSE_NOT_RUN,
                     records[0]["key"],
                     f"run {start.run_id} started on {start.server} "
-                    f"{start.time - refused_at:+.3f} s from the refusal",
+                    f"{start.time - refused_at:+.3f} s relative to the refusal",
                 )
 
 
@@ -62,19 +62,20 @@
 
 
 def _check_leaving(event: TimelineEvent, evidence: Evidence) -> Iterator[Violation]:
-    back = [
+    returns = [
         other.time
         for other in evidence.timeline
         if other.kind is TimelineKind.SERVER_LIVE
         and other.name == event.name
         and other.time > event.time
     ]
-    end = min(back, default=float("inf"))
+    end = min(returns, default=float("inf"))
     for line in evidence.lines:
-        late = event.time + LEAVING_LIMIT_S < line.time < end
+        late = event.time + LEAVING_GRACE_S < line.time < end
         if late and line.server == event.name and line.event in _WORK_EVENTS:
             yield Violation(
                 ViolationKind.WORK_AFTER_LEAVING,
                 event.name,
-                f"run {line.run_id} {line.time - event.time:.3f} s after it left",
+                f"run {line.run_id} {line.time - event.time:.3f} s after the server "
+                "left",
             )
--- a/packages/standins/src/ebonyhaven_standins/checker/_violations.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_violations.py
@@ -1,4 +1,4 @@
-"""Violations that the checks find."""
+"""Violations of guarantees that the checks detect."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ViolationKind(enum.StrEnum):
-    """Which of the promises was broken."""
+    """Guarantee that was violated."""
 
     MISSING_TOKEN = "missing_token"
     REPEATED_TOKEN = "repeated_token"
@@ -23,7 +23,11 @@
 
 
 class Violation(NamedTuple):
-    """One broken promise; ``count`` is the number of tokens or runs."""
+    """One violated guarantee.
+
+    ``subject`` is the key of a request or the name of a server or instance;
+    ``count`` is the number of tokens or runs affected.
+    """
 
     kind: ViolationKind
     subject: str
--- a/packages/standins/src/ebonyhaven_standins/demo/_run.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_run.py
@@ -109,7 +109,7 @@
     int
     """
     is_complete = report.completed + undecidable == report.requests
-    return 0 if report.holds and is_complete else 1
+    return 0 if report.passed and is_complete else 1
 
 
 def run_demo() -> None:
--- a/packages/standins/src/ebonyhaven_standins/engine/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/__init__.py
@@ -1,9 +1,9 @@
-"""Stand-in of a model engine with continuous batching and a prefix cache."""
+"""Stand-in for a model engine with continuous batching and a prefix cache."""
 
 from __future__ import annotations
 
-from ebonyhaven_standins.engine._engine import Engine, RefusedError, Start
-from ebonyhaven_standins.engine._http import EngineInterface
+from ebonyhaven_standins.engine._engine import Engine, RefusedError, StartRequest
+from ebonyhaven_standins.engine._http import EngineHttpApi
 from ebonyhaven_standins.engine._load import LoadSampler
 from ebonyhaven_standins.engine._prefix_cache import (
     CacheEvent,
@@ -15,16 +15,16 @@
 from ebonyhaven_standins.engine._settings import EngineSettings
 from ebonyhaven_standins.engine._tokens import (
     count_tokens,
-    draw_origin,
+    generate_origin,
     hash_prefixes,
-    read_origin,
+    parse_origin,
 )
 
 __all__ = [
     "CacheEvent",
     "CacheEventFeed",
     "Engine",
-    "EngineInterface",
+    "EngineHttpApi",
     "EngineSettings",
     "LoadSampler",
     "PrefixCache",
@@ -32,9 +32,9 @@
     "Run",
     "RunState",
     "Scheduler",
-    "Start",
+    "StartRequest",
     "count_tokens",
-    "draw_origin",
+    "generate_origin",
     "hash_prefixes",
-    "read_origin",
+    "parse_origin",
 ]
--- a/packages/standins/src/ebonyhaven_standins/engine/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/__main__.py
@@ -1,6 +1,6 @@
 """Command line of the engine stand-in.
 
-The signal SIGUSR1 makes the engine leave: it finishes its runs and takes none.
+SIGUSR1 marks the engine as leaving: it finishes its runs and refuses new ones.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from ebonyhaven_standins._serving import serve_app
 from ebonyhaven_standins.engine import (
     Engine,
-    EngineInterface,
+    EngineHttpApi,
     EngineSettings,
     LoadSampler,
 )
@@ -67,11 +67,11 @@
         unattended_s=unattended_s,
     )
     engine = Engine(settings, ExecutionLog(log, name), reactor)
-    signal.signal(signal.SIGUSR1, lambda *_: _leave(engine))
-    serve_app(EngineInterface(engine, LoadSampler(engine, reactor)).app, address)
+    signal.signal(signal.SIGUSR1, lambda *_: _mark_leaving(engine))
+    serve_app(EngineHttpApi(engine, LoadSampler(engine, reactor)).app, address)
 
 
-def _leave(engine: Engine) -> None:
+def _mark_leaving(engine: Engine) -> None:
     engine.state.leaving = True
 
 
--- a/packages/standins/src/ebonyhaven_standins/engine/_engine.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_engine.py
@@ -1,4 +1,4 @@
-"""The engine: known runs, their start, attachment and cancellation."""
+"""Start, attachment, cancellation and expiry of the runs of an engine."""
 
 from __future__ import annotations
 
@@ -12,25 +12,29 @@
 from ebonyhaven_standins._execution_log import ExecutionLog
 from ebonyhaven_standins.engine._orders import EngineState
 from ebonyhaven_standins.engine._prefix_cache import CacheEventFeed, PrefixCache
-from ebonyhaven_standins.engine._runs import Reader, Run, RunState
-from ebonyhaven_standins.engine._scheduler import Scheduler, write_progress
+from ebonyhaven_standins.engine._runs import Run, RunState, Subscriber
+from ebonyhaven_standins.engine._scheduler import Scheduler, log_progress
 from ebonyhaven_standins.engine._settings import EngineSettings
-from ebonyhaven_standins.engine._tokens import draw_origin, hash_prefixes, read_origin
+from ebonyhaven_standins.engine._tokens import (
+    generate_origin,
+    hash_prefixes,
+    parse_origin,
+)
 
 SWEEP_INTERVAL_S = 1.0
 
 
 class RefusedError(Exception):
-    """A call that the engine refuses.
+    """The engine refused a request.
 
     Parameters
     ----------
     status : int
         HTTP status code.
     error : str
-        Name of the error in the body.
+        Error name in the response body.
     generation : str or None
-        Generation of the run that exists.
+        Generation of the existing run, if the request conflicts with it.
     """
 
     def __init__(self, status: int, error: str, generation: str | None = None):
@@ -41,15 +45,24 @@
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class Start:
-    """Body of a start or continuation.
+class StartRequest:
+    """Request to start or continue a run.
 
     Parameters
     ----------
-    run_id, generation, model, prompt, digest : str
-    attempt, max_tokens, priority, fence : int
+    run_id, generation, model, prompt : str
+    digest : str
+        Digest of the request; has to match that of a known run with this id.
+    attempt : int
+        Number of the attempt, from 1.
+    max_tokens : int
+        Length of the whole output, including ``continue_from``.
+    priority : int
+        Priority in the queue; 0 is the highest.
+    fence : int
+        Fencing number; 0 for none.
     continue_from : tuple of str
-        Texts of the output tokens that exist already.
+        Texts of the output tokens that were generated before.
     """
 
     run_id: str
@@ -64,8 +77,8 @@
     continue_from: tuple[str, ...] = ()
 
     @classmethod
-    def from_body(cls, body: Mapping) -> Start:
-        """Return the start that a JSON body describes.
+    def from_body(cls, body: Mapping) -> StartRequest:
+        """Return the request in a decoded JSON body.
 
         Parameters
         ----------
@@ -73,12 +86,12 @@
 
         Returns
         -------
-        Start
+        StartRequest
 
         Raises
         ------
         KeyError
-            If a required member is missing.
+            If ``run_id``, ``generation``, ``model`` or ``prompt`` is missing.
         """
         names = [field.name for field in attrs.fields(cls)]
         values = {name: body[name] for name in names if body.get(name) is not None}
@@ -89,12 +102,15 @@
 
 
 class Engine:
-    """Composes the parts of one engine.
+    """Simulated engine that starts, continues and cancels runs.
+
+    Ended runs and runs without a subscriber expire after the times in the settings.
 
     Parameters
     ----------
     settings : EngineSettings
     log : ExecutionLog
+        Records every start, attachment, refusal and end of a run.
     clock : twisted.internet.interfaces.IReactorTime
     """
 
@@ -103,11 +119,11 @@
     ):
         self.settings = settings
         self.state = EngineState(settings, clock)
-        self._source = random.Random(settings.seed)
+        self._generator = random.Random(settings.seed)
         self.feed = CacheEventFeed(
             delay_s=settings.event_delay_s * settings.time_scale,
-            loss=settings.event_loss,
-            source=self._source,
+            loss_share=settings.event_loss,
+            generator=self._generator,
             clock=clock.seconds,
         )
         self.cache = PrefixCache(settings.cache_blocks, self.feed)
@@ -116,55 +132,57 @@
             cache=self.cache,
             log=log,
             clock=clock,
-            on_end=self._keep_ended,
+            on_finish=self._record_end,
         )
         self._log = log
         self._clock = clock
         self._runs: dict[str, Run] = {}
         self._fences: dict[str, int] = {}
-        self._arrivals = 0
+        self._arrival_count = 0
         self._sweeper = task.LoopingCall(self._sweep)
         self._sweeper.clock = clock
         self._sweeper.start(SWEEP_INTERVAL_S, now=False)
 
-    def start(self, start: Start) -> tuple[Run, int]:
-        """Start or continue a run, or find the one that is known already.
+    def start(self, request: StartRequest) -> tuple[Run, int]:
+        """Start or continue a run, or return the known run with the same id.
+
+        A continuation replaces a known run that has no subscribers.
 
         Parameters
         ----------
-        start : Start
+        request : StartRequest
 
         Returns
         -------
         tuple of Run and int
-            The run and the offset from which its output is wanted.
+            The run and the offset from which its output is requested.
 
         Raises
         ------
         RefusedError
-            If nothing was started.
+            If the request was refused; no run was started.
         """
-        self._check_fence(start.run_id, start.fence, start)
-        offset = len(start.continue_from)
-        run = self._runs.get(start.run_id)
+        self._check_fence(request.run_id, request.fence, request)
+        offset = len(request.continue_from)
+        run = self._runs.get(request.run_id)
         if run is not None:
-            self._check_same(run, start)
-        if run is not None and start.continue_from:
-            self._make_way(run, start)
+            self._check_same_request(run, request)
+        if run is not None and request.continue_from:
+            self._cancel_superseded(run, request)
         elif run is not None:
-            run.attempt = max(run.attempt, start.attempt)
-            write_progress(self._log, "attach", run)
+            run.attempt = max(run.attempt, request.attempt)
+            log_progress(self._log, "attach", run)
             return run, offset
-        self._check_admissible(start)
-        run = self._make_run(start)
+        self._check_admissible(request)
+        run = self._make_run(request)
         self._runs[run.run_id] = run
-        run.unattended_since = self._clock.seconds()
-        write_progress(self._log, "continue" if run.given else "start", run)
+        run.unsubscribed_since = self._clock.seconds()
+        log_progress(self._log, "continue" if run.prior_tokens else "start", run)
         self.scheduler.add(run)
         return run, offset
 
     def find(self, run_id: str, generation: str, fence: int) -> Run:
-        """Return a known run to attach to.
+        """Return a known run, to attach to its output.
 
         Parameters
         ----------
@@ -172,6 +190,7 @@
         generation : str
             Expected generation; empty matches any.
         fence : int
+            Fencing number.
 
         Returns
         -------
@@ -180,7 +199,8 @@
         Raises
         ------
         RefusedError
-            If the run is unknown, of another generation, or the fence is old.
+            If the run is unknown or has another generation, or if the fencing
+            number is stale.
         """
         self._check_fence(run_id, fence, None)
         run = self._runs.get(run_id)
@@ -188,11 +208,11 @@
             raise RefusedError(404, "run_unknown")
         if generation and run.generation != generation:
             raise RefusedError(409, "run_exists", run.generation)
-        write_progress(self._log, "attach", run)
+        log_progress(self._log, "attach", run)
         return run
 
-    def is_attended(self, run_id: str) -> bool:
-        """Tell whether somebody is attached to a run.
+    def has_subscribers(self, run_id: str) -> bool:
+        """Return whether a run has subscribers.
 
         Parameters
         ----------
@@ -203,21 +223,22 @@
         bool
         """
         run = self._runs.get(run_id)
-        return run is not None and run.is_attended
+        return run is not None and run.has_subscribers
 
     def cancel(self, run_id: str, attempt: int | None) -> bool:
-        """Cancel a run and forget it.
+        """Cancel a run and discard its output.
 
         Parameters
         ----------
         run_id : str
         attempt : int or None
-            A run that a later attempt took up is left alone.
+            Attempt that requests the cancellation; a run that a later attempt
+            started or attached to is not cancelled. None cancels in any case.
 
         Returns
         -------
         bool
-            Whether a run was cancelled.
+            Whether a running or waiting run was cancelled.
         """
         run = self._runs.get(run_id)
         if run is None or (attempt is not None and attempt < run.attempt):
@@ -226,86 +247,92 @@
         if run.state is RunState.FINISHED:
             return False
         self.scheduler.remove(run)
-        write_progress(self._log, "cancel", run)
+        log_progress(self._log, "cancel", run)
         run.cancel()
         return True
 
-    def detach(self, run: Run, reader: Reader) -> None:
-        """Forget a reader whose connection is lost.
+    def detach(self, run: Run, subscriber: Subscriber) -> None:
+        """Remove a subscriber whose connection was lost.
 
         Parameters
         ----------
         run : Run
-        reader : Reader
+        subscriber : Subscriber
         """
-        run.detach(reader, self._clock.seconds())
+        run.detach(subscriber, self._clock.seconds())
 
-    def _check_fence(self, run_id: str, fence: int, start: Start | None) -> None:
+    def _check_fence(
+        self, run_id: str, fence: int, request: StartRequest | None
+    ) -> None:
         highest = self._fences.get(run_id, 0)
         if self.settings.checks_fence and fence < highest:
-            self._log_refusal(start, run_id, "stale_fence")
+            self._log_refusal(request, run_id, "stale_fence")
             raise RefusedError(409, "stale_fence")
         if fence > highest:
             self._fences[run_id] = fence
 
-    def _check_same(self, run: Run, start: Start) -> None:
-        if run.generation != start.generation:
-            self._log_refusal(start, start.run_id, "run_exists")
+    def _check_same_request(self, run: Run, request: StartRequest) -> None:
+        if run.generation != request.generation:
+            self._log_refusal(request, request.run_id, "run_exists")
             raise RefusedError(409, "run_exists", run.generation)
-        if run.digest != start.digest:
-            self._log_refusal(start, start.run_id, "digest_mismatch")
+        if run.digest != request.digest:
+            self._log_refusal(request, request.run_id, "digest_mismatch")
             raise RefusedError(409, "digest_mismatch")
 
-    def _make_way(self, run: Run, start: Start) -> None:
-        """Give up a known run, whose tokens may differ from those of the start."""
-        if run.is_attended:
-            self._log_refusal(start, start.run_id, "run_attended")
+    def _cancel_superseded(self, run: Run, request: StartRequest) -> None:
+        """Cancel a known run, as its output may differ from ``continue_from``."""
+        if run.has_subscribers:
+            self._log_refusal(request, request.run_id, "run_attended")
             raise RefusedError(409, "run_attended")
-        self._check_admissible(start)
+        self._check_admissible(request)
         self.cancel(run.run_id, None)
 
-    def _check_admissible(self, start: Start) -> None:
+    def _check_admissible(self, request: StartRequest) -> None:
         refusal = None
         if self.state.leaving:
             refusal = RefusedError(503, "leaving")
-        elif not self.state.has_model(start.model):
+        elif not self.state.has_model(request.model):
             refusal = RefusedError(404, "model_not_loaded")
         elif self.scheduler.is_full:
             refusal = RefusedError(429, "full")
         if refusal is not None:
-            self._log_refusal(start, start.run_id, refusal.error)
+            self._log_refusal(request, request.run_id, refusal.error)
             raise refusal
 
-    def _log_refusal(self, start: Start | None, run_id: str, error: str) -> None:
+    def _log_refusal(
+        self, request: StartRequest | None, run_id: str, error: str
+    ) -> None:
         self._log.write(
             "refuse",
             run_id=run_id,
-            generation=start.generation if start else None,
-            attempt=start.attempt if start else None,
+            generation=request.generation if request else None,
+            attempt=request.attempt if request else None,
             error=error,
         )
 
-    def _make_run(self, start: Start) -> Run:
-        self._arrivals += 1
-        given = start.continue_from
+    def _make_run(self, request: StartRequest) -> Run:
+        self._arrival_count += 1
+        prior_tokens = request.continue_from
         origin = (
-            read_origin(given) if given else draw_origin(start.prompt, self._source)
+            parse_origin(prior_tokens)
+            if prior_tokens
+            else generate_origin(request.prompt, self._generator)
         )
         return Run(
-            run_id=start.run_id,
-            generation=start.generation,
-            attempt=start.attempt,
-            digest=start.digest,
-            prompt=start.prompt,
-            max_tokens=start.max_tokens,
-            priority=start.priority,
+            run_id=request.run_id,
+            generation=request.generation,
+            attempt=request.attempt,
+            digest=request.digest,
+            prompt=request.prompt,
+            max_tokens=request.max_tokens,
+            priority=request.priority,
             origin=origin,
-            given=given,
-            prefixes=hash_prefixes(start.prompt),
-            arrival=self._arrivals,
+            prior_tokens=prior_tokens,
+            prefix_hashes=hash_prefixes(request.prompt),
+            arrival_index=self._arrival_count,
         )
 
-    def _keep_ended(self, run: Run) -> None:
+    def _record_end(self, run: Run) -> None:
         run.ended_at = self._clock.seconds()
 
     def _sweep(self) -> None:
@@ -319,6 +346,6 @@
 
 
 def _is_abandoned(run: Run, now: float, limit_s: float) -> bool:
-    if run.is_attended or run.unattended_since is None:
+    if run.has_subscribers or run.unsubscribed_since is None:
         return False
-    return now - run.unattended_since > limit_s
+    return now - run.unsubscribed_since > limit_s
--- a/packages/standins/src/ebonyhaven_standins/engine/_http.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_http.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the engine stand-in."""
+"""HTTP API of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from twisted.web import http
 
 from ebonyhaven_standins._serving import answer_json, query_int, read_json
-from ebonyhaven_standins.engine._engine import Engine, RefusedError, Start
+from ebonyhaven_standins.engine._engine import Engine, RefusedError, StartRequest
 from ebonyhaven_standins.engine._load import LoadSampler
 from ebonyhaven_standins.engine._orders import StaleFenceError
 from ebonyhaven_standins.engine._runs import Run
 
 
-class StreamReader:
+class ResponseSubscriber:
     """Writes the output of a run to one HTTP response.
 
     Parameters
@@ -29,7 +29,7 @@
         self.done: defer.Deferred[None] = defer.Deferred(_ignore_cancel)
 
     def write(self, data: bytes) -> None:
-        """Send bytes of the stream.
+        """Write bytes to the response unless it has ended.
 
         Parameters
         ----------
@@ -44,18 +44,19 @@
             self._is_open = False
             self.done.callback(None)
 
-    def abandon(self) -> None:
-        """Stop writing, because the connection is lost."""
+    def mark_disconnected(self) -> None:
+        """Discard further output because the connection was lost."""
         self._is_open = False
 
 
-class EngineInterface:
-    """Routes of one engine.
+class EngineHttpApi:
+    """HTTP routes of one engine.
 
     Parameters
     ----------
     engine : Engine
     load : LoadSampler
+        Source of the load reports.
     """
 
     app = Klein()
@@ -65,30 +66,30 @@
         self._load = load
 
     @app.handle_errors(RefusedError)
-    def refuse(self, request, failure):
-        """Answer a refused call."""
-        refused = failure.value
-        body = {"error": refused.error}
-        if refused.generation is not None:
-            body["generation"] = refused.generation
+    def handle_refused(self, request, failure):
+        """Respond to a request that the engine refused."""
+        error = failure.value
+        body = {"error": error.error}
+        if error.generation is not None:
+            body["generation"] = error.generation
         self._add_load_headers(request)
-        return answer_json(request, body, refused.status)
+        return answer_json(request, body, error.status)
 
     @app.handle_errors(ValueError, KeyError, TypeError)
-    def reject(self, request, failure):
-        """Answer a malformed call."""
+    def handle_malformed(self, request, failure):
+        """Respond to a malformed request with status 400."""
         body = {"error": "malformed", "reason": failure.getErrorMessage()}
         return answer_json(request, body, http.BAD_REQUEST)
 
     @app.route("/v1/completions", methods=["POST"])
     def start_run(self, request):
-        """Start, continue or attach to a run."""
-        run, offset = self._engine.start(Start.from_body(read_json(request)))
+        """Start, continue or attach to a run and stream its output."""
+        run, offset = self._engine.start(StartRequest.from_body(read_json(request)))
         return self._stream(request, run, offset)
 
     @app.route("/v1/runs/<run_id>", methods=["GET"])
     def attach_run(self, request, run_id):
-        """Attach to a run at an offset."""
+        """Attach to a run and stream its output from an offset."""
         generation = request.args.get(b"generation", [b""])[0].decode()
         fence = query_int(request, b"fence", 0)
         offset = query_int(request, b"from", 0)
@@ -97,50 +98,52 @@
 
     @app.route("/v1/runs/<run_id>", methods=["DELETE"])
     def cancel_run(self, request, run_id):
-        """Cancel a run."""
+        """Cancel a run; with ``if_detached``, only if it has no subscribers."""
         attempt = query_int(request, b"attempt", -1)
-        if query_int(request, b"if_detached", 0) and self._engine.is_attended(run_id):
+        if query_int(request, b"if_detached", 0) and self._engine.has_subscribers(
+            run_id
+        ):
             return self._answer(request, {"cancelled": False, "attended": True})
         cancelled = self._engine.cancel(run_id, attempt if attempt >= 0 else None)
         return self._answer(request, {"cancelled": cancelled, "attended": False})
 
     @app.route("/v1/load", methods=["GET"])
     def report_load(self, request):
-        """Answer the lagging load report."""
+        """Return the last load sample."""
         return self._answer(request, self._load.report())
 
     @app.route("/v1/state", methods=["GET"])
-    def read_state(self, request):
-        """Answer the state that orders change."""
+    def report_state(self, request):
+        """Return the loaded models, the role and the highest fencing number."""
         return self._answer(request, self._engine.state.describe())
 
     @app.route("/v1/orders", methods=["POST"])
-    def take_order(self, request):
-        """Take an order."""
+    def accept_order(self, request):
+        """Accept an order of a controller."""
         order = read_json(request)
         try:
-            self._engine.state.take_order(order)
+            self._engine.state.accept_order(order)
         except StaleFenceError:
             raise RefusedError(409, "stale_fence") from None
         return self._answer(request, {"order_id": order["order_id"], "accepted": True})
 
     @app.route("/v1/cache-events", methods=["GET"])
     def list_cache_events(self, request):
-        """Answer the published cache events."""
+        """Return the published cache events."""
         since = query_int(request, b"since", 0)
-        events, following = self._engine.feed.list_since(since)
+        events, next_sequence = self._engine.feed.list_since(since)
         body = {
             "events": [
                 {"sequence": event.sequence, "kind": event.kind, "prefix": event.prefix}
                 for event in events
             ],
-            "next": following,
+            "next": next_sequence,
         }
         return self._answer(request, body)
 
     @app.route("/health", methods=["GET"])
     def report_health(self, request):
-        """Answer that the process serves."""
+        """Return the name of the server."""
         return self._answer(request, {"server": self._engine.settings.name})
 
     def _answer(self, request: http.Request, body: object) -> bytes:
@@ -150,17 +153,17 @@
     def _stream(self, request: http.Request, run: Run, offset: int) -> defer.Deferred:
         self._add_load_headers(request)
         request.setHeader("Content-Type", "text/event-stream")
-        # An empty write sends the headers before prefill ends.
+        # An empty write sends the headers before the first token is ready.
         request.write(b"")
-        reader = StreamReader(request)
-        lost = request.notifyFinish()
-        lost.addErrback(lambda _: self._drop(run, reader))
-        run.attach(reader, offset)
-        return reader.done
+        subscriber = ResponseSubscriber(request)
+        disconnected = request.notifyFinish()
+        disconnected.addErrback(lambda _: self._handle_disconnect(run, subscriber))
+        run.attach(subscriber, offset)
+        return subscriber.done
 
-    def _drop(self, run: Run, reader: StreamReader) -> None:
-        reader.abandon()
-        self._engine.detach(run, reader)
+    def _handle_disconnect(self, run: Run, subscriber: ResponseSubscriber) -> None:
+        subscriber.mark_disconnected()
+        self._engine.detach(run, subscriber)
 
     def _add_load_headers(self, request: http.Request) -> None:
         scheduler = self._engine.scheduler
@@ -176,4 +179,4 @@
 
 
 def _ignore_cancel(_done: defer.Deferred) -> None:
-    """Leave the cancellation of a lost response to the deferred itself."""
+    """Do nothing; the deferred itself fires with `CancelledError`."""
--- a/packages/standins/src/ebonyhaven_standins/engine/_load.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_load.py
@@ -1,4 +1,4 @@
-"""Load report that lags behind the engine."""
+"""Load report, sampled at an interval."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LoadSampler:
-    """Samples the load at an interval and answers with the last sample.
+    """Samples the load every ``load_lag_s`` seconds, so that reports lag behind.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
         self._sampler.start(max(settings.load_lag_s * settings.time_scale, 0.01))
 
     def report(self) -> dict[str, object]:
-        """Return the last sample and its age in milliseconds.
+        """Return the last sample with its age, in milliseconds.
 
         Returns
         -------
@@ -48,7 +48,7 @@
             "waiting": engine.scheduler.waiting,
             "capacity": engine.settings.capacity,
             "pace_ms": engine.scheduler.pace_ms,
-            "prefill_tokens_per_s": engine.settings.scaled_prefill_rate,
+            "prefill_tokens_per_s": engine.settings.scaled_prefill_tokens_per_s,
             "cached_blocks": len(engine.cache),
             "cache_capacity_blocks": engine.cache.capacity,
             "leaving": engine.state.leaving,
--- a/packages/standins/src/ebonyhaven_standins/engine/_orders.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_orders.py
@@ -1,4 +1,4 @@
-"""Orders of operators' controllers and the state that they change."""
+"""Orders of controllers and the engine state that they change."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from ebonyhaven_standins.engine._settings import EngineSettings
 
-TARGETS = ("model", "adapter", "version")
-KINDS = ("load", "unload", "set_role")
+ORDER_TARGETS = ("model", "adapter", "version")
+ORDER_KINDS = ("load", "unload", "set_role")
 
 
 class StaleFenceError(Exception):
-    """An order or request carried a fence older than one seen before."""
+    """The fencing number of an order is lower than a previous one."""
 
 
 class Order(TypedDict):
-    """Order to load, unload or change role."""
+    """Order to load or unload a model, adapter or version, or to change the role."""
 
     order_id: str
     kind: str
@@ -27,7 +27,7 @@
 
 
 class EngineState:
-    """What the engine has loaded, its role and the highest order fence.
+    """Loaded models, role and highest fencing number of orders of an engine.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
     __slots__ = (
         "_clock",
         "_loaded",
-        "_orders",
+        "_order_ids",
         "_settings",
         "fence",
         "leaving",
@@ -48,9 +48,9 @@
     def __init__(self, settings: EngineSettings, clock: IReactorTime):
         self._settings = settings
         self._clock = clock
-        self._loaded: dict[str, list[str]] = {target: [] for target in TARGETS}
+        self._loaded: dict[str, list[str]] = {target: [] for target in ORDER_TARGETS}
         self._loaded["model"].append(settings.model)
-        self._orders: set[str] = set()
+        self._order_ids: set[str] = set()
         self.fence = 0
         self.role = "serve"
         self.leaving = False
@@ -61,6 +61,7 @@
         Parameters
         ----------
         name : str
+            Name of the model.
 
         Returns
         -------
@@ -68,8 +69,10 @@
         """
         return name in self._loaded["model"]
 
-    def take_order(self, order: Order) -> None:
-        """Begin to carry out an order; a repeated order id changes nothing.
+    def accept_order(self, order: Order) -> None:
+        """Accept an order and apply it after ``order_s`` seconds.
+
+        A repeated order id has no effect.
 
         Parameters
         ----------
@@ -78,25 +81,25 @@
         Raises
         ------
         StaleFenceError
-            If this engine checks fences and the order's is old.
+            If this engine checks fencing numbers and that of the order is stale.
         ValueError
-            If kind or target are not known.
+            If the kind or the target is unknown.
         """
-        if order["kind"] not in KINDS:
+        if order["kind"] not in ORDER_KINDS:
             raise ValueError(f"unknown kind of order: {order['kind']}")
-        if order["kind"] != "set_role" and order["target"] not in TARGETS:
+        if order["kind"] != "set_role" and order["target"] not in ORDER_TARGETS:
             raise ValueError(f"unknown target of order: {order['target']}")
         if self._settings.checks_fence and order["fence"] < self.fence:
             raise StaleFenceError
         self.fence = max(self.fence, order["fence"])
-        if order["order_id"] in self._orders:
+        if order["order_id"] in self._order_ids:
             return
-        self._orders.add(order["order_id"])
+        self._order_ids.add(order["order_id"])
         delay_s = self._settings.order_s * self._settings.time_scale
-        self._clock.callLater(delay_s, self._carry_out, order)
+        self._clock.callLater(delay_s, self._apply_order, order)
 
     def describe(self) -> dict[str, object]:
-        """Return the state as it is read back over HTTP.
+        """Return the state as a JSON object.
 
         Returns
         -------
@@ -112,7 +115,7 @@
             "leaving": self.leaving,
         }
 
-    def _carry_out(self, order: Order) -> None:
+    def _apply_order(self, order: Order) -> None:
         name = order["name"]
         if order["kind"] == "set_role":
             self.role = name
--- a/packages/standins/src/ebonyhaven_standins/engine/_prefix_cache.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache with limited memory and its late, gappy event feed."""
+"""LRU prefix cache and its event feed, which delays and drops events."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import attrs
 
-KEPT_EVENTS = 8192
+MAX_BUFFERED_EVENTS = 8192
 
 
 @attrs.frozen(slots=True)
@@ -18,52 +18,60 @@
     Parameters
     ----------
     sequence : int
-        Number of the event; a missing number is a lost event.
+        Sequence number of the event; gaps mark dropped events.
     kind : str
         ``stored`` or ``evicted``.
     prefix : str
         Hash of the prompt prefix.
-    visible_at : float
-        Time in seconds from which the event is published.
+    published_at : float
+        Time at which the event is published, in seconds.
     """
 
     sequence: int
     kind: str
     prefix: str
-    visible_at: float
+    published_at: float
 
 
 class CacheEventFeed:
-    """Publishes cache events after a delay and loses some.
+    """Publishes cache events after a delay and drops a share of them.
 
     Parameters
     ----------
     delay_s : float
-        Time until an event is published.
-    loss : float
-        Share of events that are lost, 0 to 1.
-    source : random.Random
+        Delay before an event is published.
+    loss_share : float
+        Share of events that are dropped, 0 to 1.
+    generator : random.Random
+        Source of randomness for the drops.
     clock : callable
         Returns the time in seconds.
     """
 
-    __slots__ = ("_clock", "_delay_s", "_events", "_loss", "_sequence", "_source")
+    __slots__ = (
+        "_clock",
+        "_delay_s",
+        "_events",
+        "_loss_share",
+        "_sequence",
+        "_generator",
+    )
 
     def __init__(
         self,
         *,
         delay_s: float,
-        loss: float,
-        source: random.Random,
+        loss_share: float,
+        generator: random.Random,
         clock: Callable[[], float],
     ):
         self._delay_s = delay_s
-        self._loss = loss
-        self._source = source
+        self._loss_share = loss_share
+        self._generator = generator
         self._clock = clock
         self._sequence = 0
         self._events: collections.deque[CacheEvent] = collections.deque(
-            maxlen=KEPT_EVENTS
+            maxlen=MAX_BUFFERED_EVENTS
         )
 
     def add(self, kind: str, prefix: str) -> None:
@@ -72,46 +80,48 @@
         Parameters
         ----------
         kind : str
+            ``stored`` or ``evicted``.
         prefix : str
+            Hash of the prompt prefix.
         """
         self._sequence += 1
-        if self._source.random() < self._loss:
+        if self._generator.random() < self._loss_share:
             return
-        visible_at = self._clock() + self._delay_s
-        self._events.append(CacheEvent(self._sequence, kind, prefix, visible_at))
+        published_at = self._clock() + self._delay_s
+        self._events.append(CacheEvent(self._sequence, kind, prefix, published_at))
 
     def list_since(self, since: int) -> tuple[list[CacheEvent], int]:
-        """Return the published events from a sequence number on.
+        """Return the published events, starting at a sequence number.
 
         Parameters
         ----------
         since : int
-            First sequence number wanted.
+            Lowest sequence number to return.
 
         Returns
         -------
         tuple of list of CacheEvent and int
-            The events and the sequence number to ask for next.
+            The events and the value of ``since`` for the next call.
         """
         now = self._clock()
-        visible = [
+        published = [
             event
             for event in self._events
-            if event.sequence >= since and event.visible_at <= now
+            if event.sequence >= since and event.published_at <= now
         ]
-        following = visible[-1].sequence + 1 if visible else since
-        return visible, following
+        next_sequence = published[-1].sequence + 1 if published else since
+        return published, next_sequence
 
 
 class PrefixCache:
-    """Least recently used store of prompt prefix blocks.
+    """LRU cache of prompt prefix blocks.
 
     Parameters
     ----------
     capacity : int
-        Number of blocks that fit.
+        Maximum number of blocks.
     feed : CacheEventFeed
-        Where changes are published.
+        Publishes the changes.
     """
 
     __slots__ = ("_blocks", "_feed", "capacity")
@@ -124,12 +134,12 @@
     def __len__(self) -> int:
         return len(self._blocks)
 
-    def count_cached(self, prefixes: Sequence[str]) -> int:
-        """Return how many leading blocks are cached and mark them as used.
+    def count_cached(self, prefix_hashes: Sequence[str]) -> int:
+        """Return the number of leading blocks in the cache and mark them as used.
 
         Parameters
         ----------
-        prefixes : sequence of str
+        prefix_hashes : sequence of str
             Hashes from the shortest to the longest prefix.
 
         Returns
@@ -137,24 +147,26 @@
         int
         """
         cached = 0
-        for prefix in prefixes:
+        for prefix in prefix_hashes:
             if prefix not in self._blocks:
                 break
             cached += 1
-        # The shortest prefix ends up the most recent: a chain is evicted from its end.
-        for prefix in reversed(prefixes[:cached]):
+        # The shortest prefix becomes the most recently used one: eviction has to
+        # remove the longest prefixes first, as a prefix is of no use without all
+        # shorter ones.
+        for prefix in reversed(prefix_hashes[:cached]):
             self._blocks.move_to_end(prefix)
         return cached
 
-    def store(self, prefixes: Sequence[str]) -> None:
-        """Store the blocks of a prompt and evict the least recently used.
+    def store(self, prefix_hashes: Sequence[str]) -> None:
+        """Store the blocks of a prompt and evict the least recently used blocks.
 
         Parameters
         ----------
-        prefixes : sequence of str
+        prefix_hashes : sequence of str
             Hashes from the shortest to the longest prefix.
         """
-        for prefix in reversed(prefixes):
+        for prefix in reversed(prefix_hashes):
             if prefix not in self._blocks:
                 self._feed.add("stored", prefix)
             self._blocks[prefix] = None
--- a/packages/standins/src/ebonyhaven_standins/engine/_runs.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_runs.py
@@ -1,4 +1,4 @@
-"""Runs of an engine: their output, readers and place in the batch."""
+"""Runs of an engine: state, output and subscribers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RunState(enum.Enum):
-    """Place of a run in its life."""
+    """Stage in the lifecycle of a run."""
 
     WAITING = "waiting"
     PREFILLING = "prefilling"
@@ -22,11 +22,11 @@
     CANCELLED = "cancelled"
 
 
-class Reader(Protocol):
+class Subscriber(Protocol):
     """Receives the output of a run on one connection."""
 
     def write(self, data: bytes) -> None:
-        """Send bytes of the stream."""
+        """Write bytes of the event stream."""
 
     def end(self) -> None:
         """End the stream."""
@@ -43,19 +43,31 @@
     attempt : int
         Highest attempt number that started or attached to the run.
     digest : str
+        Digest of the request.
     prompt : str
     max_tokens : int
-        Number of tokens of the whole output, continued ones included.
+        Length of the whole output, including ``prior_tokens``.
     priority : int
-        0 is served first.
+        Priority in the queue; 0 is the highest.
     origin : str
-        Identity carried by every token.
-    given : tuple of str
-        Output tokens that the start carried.
-    prefixes : list of str
-        Hashes of the prompt's prefixes.
-    arrival : int
-        Order of arrival at the engine.
+        Identifier of the first start; part of the text of every token.
+    prior_tokens : tuple of str
+        Texts of the output tokens that a continuation starts from.
+    prefix_hashes : list of str
+        Hashes of the prompt's prefixes, from the shortest to the longest.
+    arrival_index : int
+        Position in the order of arrival at the engine.
+    state : RunState
+    remaining_prefill_tokens : float
+        Tokens still to be prefilled.
+    planned_prefill_tokens : int
+        Tokens to prefill in total: uncached prompt tokens and ``prior_tokens``.
+    unlogged_prefill_tokens, unlogged_decoded_tokens : int
+        Tokens computed since the last line in the execution log.
+    unsubscribed_since : float or None
+        Time from which the run has had no subscriber; None while it has one.
+    ended_at : float or None
+        Time at which the run finished.
     """
 
     run_id: str
@@ -66,135 +78,137 @@
     max_tokens: int
     priority: int
     origin: str
-    given: tuple[str, ...]
-    prefixes: list[str]
-    arrival: int
+    prior_tokens: tuple[str, ...]
+    prefix_hashes: list[str]
+    arrival_index: int
     state: RunState = RunState.WAITING
-    prefill_left: float = 0.0
-    prefill_planned: int = 0
-    unlogged_prefill: int = 0
-    unlogged_decoded: int = 0
-    unattended_since: float | None = None
+    remaining_prefill_tokens: float = 0.0
+    planned_prefill_tokens: int = 0
+    unlogged_prefill_tokens: int = 0
+    unlogged_decoded_tokens: int = 0
+    unsubscribed_since: float | None = None
     ended_at: float | None = None
     _events: list[bytes] = attrs.field(init=False, factory=list)
-    _readers: dict[Reader, int] = attrs.field(init=False, factory=dict)
-    _head: bytes = attrs.field(init=False, default=b"")
+    _subscribers: dict[Subscriber, int] = attrs.field(init=False, factory=dict)
+    _event_prefix: bytes = attrs.field(init=False, default=b"")
 
     def __attrs_post_init__(self) -> None:
-        self._head = (
+        self._event_prefix = (
             b'\ndata: {"id":"cmpl-%b","object":"text_completion",'
             b'"choices":[{"index":0,"text":"' % self.run_id.encode()
         )
-        for text in self.given:
+        for text in self.prior_tokens:
             self._events.append(self._encode_event(text.encode(), b"null"))
 
     @property
     def offset(self) -> int:
-        """Number of output tokens, given ones included."""
+        """Number of output tokens, including ``prior_tokens``."""
         return len(self._events) - (self.state is RunState.FINISHED)
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the run has finished or was cancelled."""
         return self.state in (RunState.FINISHED, RunState.CANCELLED)
 
     @property
-    def is_attended(self) -> bool:
-        """Whether a connection reads the output."""
-        return bool(self._readers)
+    def has_subscribers(self) -> bool:
+        """Whether a connection is attached to the output."""
+        return bool(self._subscribers)
 
     def plan_prefill(self, cached_blocks: int) -> None:
-        """Enter prefill and set the tokens that must be computed.
+        """Enter the prefill stage and compute the number of tokens to prefill.
 
         Parameters
         ----------
         cached_blocks : int
-            Leading prompt blocks that the cache holds.
+            Number of leading prompt blocks in the cache.
         """
         chars = len(self.prompt) - cached_blocks * BLOCK_CHARS
-        self.prefill_planned = -(-chars // CHARS_PER_TOKEN) + len(self.given)
-        self.prefill_left = float(self.prefill_planned)
+        self.planned_prefill_tokens = -(-chars // CHARS_PER_TOKEN) + len(
+            self.prior_tokens
+        )
+        self.remaining_prefill_tokens = float(self.planned_prefill_tokens)
         self.state = RunState.PREFILLING
 
     def decode_token(self) -> None:
-        """Make the next token and pass it to the readers."""
+        """Generate the next token and publish it."""
         text = f"{self.origin}:{len(self._events)} ".encode()
         self._publish(self._encode_event(text, b"null"))
-        self.unlogged_decoded += 1
+        self.unlogged_decoded_tokens += 1
 
     def finish(self) -> None:
-        """Publish the end of the output and end all readers."""
+        """Publish the finish event and end the streams of all subscribers."""
         self._publish(self._encode_event(b"", b'"length"'))
         self.state = RunState.FINISHED
-        for reader in self._take_readers():
-            reader.write(END_OF_STREAM)
-            reader.end()
+        for subscriber in self._pop_subscribers():
+            subscriber.write(END_OF_STREAM)
+            subscriber.end()
 
     def cancel(self) -> None:
-        """Stop the run and end all readers without an end event."""
+        """Stop the run and end all streams without a finish event."""
         self.state = RunState.CANCELLED
-        for reader in self._take_readers():
-            reader.end()
+        for subscriber in self._pop_subscribers():
+            subscriber.end()
 
-    def attach(self, reader: Reader, offset: int) -> None:
-        """Send the output from an offset on to one more reader.
+    def attach(self, subscriber: Subscriber, offset: int) -> None:
+        """Add a subscriber and send it the output from an offset.
 
         Parameters
         ----------
-        reader : Reader
+        subscriber : Subscriber
         offset : int
-            First token to send; it may lie ahead of the output.
+            First token to send; may lie beyond the tokens generated so far.
         """
-        self.unattended_since = None
+        self.unsubscribed_since = None
         backlog = b"".join(self._events[offset:])
         if self.state is RunState.FINISHED:
-            reader.write(backlog + END_OF_STREAM)
-            reader.end()
+            subscriber.write(backlog + END_OF_STREAM)
+            subscriber.end()
             return
         if backlog:
-            reader.write(backlog)
-        self._readers[reader] = offset
+            subscriber.write(backlog)
+        self._subscribers[subscriber] = offset
 
-    def detach(self, reader: Reader, now: float) -> None:
-        """Forget a reader whose connection is lost.
+    def detach(self, subscriber: Subscriber, now: float) -> None:
+        """Remove a subscriber whose connection was lost.
 
         Parameters
         ----------
-        reader : Reader
+        subscriber : Subscriber
         now : float
-            Time in seconds.
+            Current time, in seconds.
         """
-        self._readers.pop(reader, None)
-        if not self._readers:
-            self.unattended_since = now
+        self._subscribers.pop(subscriber, None)
+        if not self._subscribers:
+            self.unsubscribed_since = now
 
-    def take_unlogged(self) -> tuple[int, int]:
-        """Return prefilled and decoded tokens since the last call.
+    def pop_unlogged_counts(self) -> tuple[int, int]:
+        """Return the prefilled and decoded tokens since the last call.
 
         Returns
         -------
         tuple of int and int
         """
-        counts = (self.unlogged_prefill, self.unlogged_decoded)
-        self.unlogged_prefill = self.unlogged_decoded = 0
+        counts = (self.unlogged_prefill_tokens, self.unlogged_decoded_tokens)
+        self.unlogged_prefill_tokens = self.unlogged_decoded_tokens = 0
         return counts
 
     def _publish(self, event: bytes) -> None:
         position = len(self._events)
         self._events.append(event)
-        for reader, first in self._readers.items():
+        for subscriber, first in self._subscribers.items():
             if position >= first:
-                reader.write(event)
+                subscriber.write(event)
 
-    def _take_readers(self) -> list[Reader]:
-        readers = list(self._readers)
-        self._readers.clear()
-        return readers
+    def _pop_subscribers(self) -> list[Subscriber]:
+        subscribers = list(self._subscribers)
+        self._subscribers.clear()
+        return subscribers
 
     def _encode_event(self, text: bytes, finish_reason: bytes) -> bytes:
         return b'id: %d%b%b","finish_reason":%b}]}\n\n' % (
             len(self._events),
-            self._head,
+            self._event_prefix,
             text,
             finish_reason,
         )
--- a/packages/standins/src/ebonyhaven_standins/engine/_scheduler.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_scheduler.py
@@ -1,4 +1,4 @@
-"""Continuous batching: admission, prefill and decode steps on one timer."""
+"""Continuous batching: admission, prefill and decode steps."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from ebonyhaven_standins.engine._runs import Run, RunState
 from ebonyhaven_standins.engine._settings import EngineSettings
 
-CRASH_MARK = "[[crash]]"
+# A prompt that contains this text crashes the engine at its prefill.
+CRASH_MARKER = "[[crash]]"
 CRASH_EXIT_CODE = 70
-COUNT_INTERVAL_TOKENS = 8
+PROGRESS_INTERVAL_TOKENS = 8
 
 
 class Scheduler:
-    """Runs the batch, one reactor timer a step.
+    """Runs the batch; a reactor timer triggers each step.
 
     Parameters
     ----------
@@ -26,8 +27,8 @@
     cache : PrefixCache
     log : ExecutionLog
     clock : twisted.internet.interfaces.IReactorTime
-    on_end : callable
-        Called with each run that has finished.
+    on_finish : callable
+        Called with each finished run.
     """
 
     __slots__ = (
@@ -35,7 +36,7 @@
         "_clock",
         "_decoding",
         "_log",
-        "_on_end",
+        "_on_finish",
         "_prefilling",
         "_settings",
         "_timer",
@@ -49,13 +50,13 @@
         cache: PrefixCache,
         log: ExecutionLog,
         clock: IReactorTime,
-        on_end: Callable[[Run], None],
+        on_finish: Callable[[Run], None],
     ):
         self._settings = settings
         self._cache = cache
         self._log = log
         self._clock = clock
-        self._on_end = on_end
+        self._on_finish = on_finish
         self._waiting: list[Run] = []
         self._prefilling: list[Run] = []
         self._decoding: list[Run] = []
@@ -63,39 +64,41 @@
 
     @property
     def running(self) -> int:
-        """Number of sequences in the batch."""
+        """Number of runs in the batch."""
         return len(self._prefilling) + len(self._decoding)
 
     @property
     def waiting(self) -> int:
-        """Number of runs that wait for a place."""
+        """Number of queued runs."""
         return len(self._waiting)
 
     @property
     def is_full(self) -> bool:
-        """Whether a further run is refused."""
+        """Whether the queue is full, so that further runs are refused."""
         return len(self._waiting) >= self._settings.max_waiting
 
     @property
     def pace_ms(self) -> float:
-        """Present gap between tokens in milliseconds of real time."""
-        return self._settings.step_s(max(len(self._decoding), 1)) * 1000.0
+        """Current interval between tokens, in milliseconds of real time."""
+        return (
+            self._settings.compute_step_duration_s(max(len(self._decoding), 1)) * 1000.0
+        )
 
     def add(self, run: Run) -> None:
-        """Queue a run and start stepping.
+        """Queue a run and start the step timer if it is stopped.
 
         Parameters
         ----------
         run : Run
         """
         self._waiting.append(run)
-        self._waiting.sort(key=_order)
+        self._waiting.sort(key=_scheduling_key)
         if self._timer is None:
             self._admit()
             self._schedule_step()
 
     def remove(self, run: Run) -> None:
-        """Take a run out of the queue or batch, for cancellation.
+        """Remove a cancelled run from the queue or the batch.
 
         Parameters
         ----------
@@ -105,17 +108,19 @@
             if run in group:
                 group.remove(run)
         if run.state is RunState.PREFILLING:
-            run.unlogged_prefill = int(run.prefill_planned - run.prefill_left)
+            run.unlogged_prefill_tokens = int(
+                run.planned_prefill_tokens - run.remaining_prefill_tokens
+            )
 
     def _schedule_step(self) -> None:
-        duration_s = self._settings.step_s(max(len(self._decoding), 1))
+        duration_s = self._settings.compute_step_duration_s(max(len(self._decoding), 1))
         self._timer = self._clock.callLater(duration_s, self._step, duration_s)
 
     def _step(self, duration_s: float) -> None:
         self._timer = None
         for run in list(self._decoding):
             self._decode(run)
-        self._prefill(self._settings.scaled_prefill_rate * duration_s)
+        self._prefill(self._settings.scaled_prefill_tokens_per_s * duration_s)
         self._admit()
         if self.running or self._waiting:
             self._schedule_step()
@@ -123,28 +128,28 @@
     def _admit(self) -> None:
         while self._waiting and self.running < self._settings.capacity:
             run = self._waiting.pop(0)
-            run.plan_prefill(self._cache.count_cached(run.prefixes))
+            run.plan_prefill(self._cache.count_cached(run.prefix_hashes))
             self._prefilling.append(run)
-            self._prefilling.sort(key=_order)
+            self._prefilling.sort(key=_scheduling_key)
 
     def _prefill(self, budget: float) -> None:
         while self._prefilling and budget > 0:
             run = self._prefilling[0]
-            self._crash_if_asked(run)
-            spent = min(budget, run.prefill_left)
-            run.prefill_left -= spent
+            self._crash_if_requested(run)
+            spent = min(budget, run.remaining_prefill_tokens)
+            run.remaining_prefill_tokens -= spent
             budget -= spent
-            if run.prefill_left > 0:
+            if run.remaining_prefill_tokens > 0:
                 return
             self._prefilling.pop(0)
             self._begin_decoding(run)
 
     def _begin_decoding(self, run: Run) -> None:
-        self._cache.store(run.prefixes)
-        run.unlogged_prefill = run.prefill_planned
+        self._cache.store(run.prefix_hashes)
+        run.unlogged_prefill_tokens = run.planned_prefill_tokens
         run.state = RunState.DECODING
         self._decoding.append(run)
-        write_progress(self._log, "token_count", run)
+        log_progress(self._log, "token_count", run)
         if run.offset >= run.max_tokens:
             self._finish(run)
 
@@ -152,35 +157,37 @@
         run.decode_token()
         if run.offset >= run.max_tokens:
             self._finish(run)
-        elif run.unlogged_decoded >= COUNT_INTERVAL_TOKENS:
-            write_progress(self._log, "token_count", run)
+        elif run.unlogged_decoded_tokens >= PROGRESS_INTERVAL_TOKENS:
+            log_progress(self._log, "token_count", run)
 
     def _finish(self, run: Run) -> None:
         self._decoding.remove(run)
-        # Logged first: what a reader has seen must be in the log.
-        write_progress(self._log, "finish", run)
+        # Logged before it is sent: the checker looks up the end of every received
+        # output in the log, also after a kill.
+        log_progress(self._log, "finish", run)
         run.finish()
-        self._on_end(run)
+        self._on_finish(run)
 
-    def _crash_if_asked(self, run: Run) -> None:
-        if CRASH_MARK not in run.prompt:
+    def _crash_if_requested(self, run: Run) -> None:
+        if CRASH_MARKER not in run.prompt:
             return
         for other in self._decoding:
-            write_progress(self._log, "token_count", other)
-        write_progress(self._log, "crash", run)
+            log_progress(self._log, "token_count", other)
+        log_progress(self._log, "crash", run)
         os._exit(CRASH_EXIT_CODE)
 
 
-def write_progress(log: ExecutionLog, event: str, run: Run) -> None:
-    """Log an event of a run with the work done since its last line.
+def log_progress(log: ExecutionLog, event: str, run: Run) -> None:
+    """Log an event of a run with the tokens computed since its last log line.
 
     Parameters
     ----------
     log : ExecutionLog
     event : str
+        Kind of event.
     run : Run
     """
-    prefilled, decoded = run.take_unlogged()
+    prefilled, decoded = run.pop_unlogged_counts()
     log.write(
         event,
         run_id=run.run_id,
@@ -193,5 +200,5 @@
     )
 
 
-def _order(run: Run) -> tuple[int, int]:
-    return run.priority, run.arrival
+def _scheduling_key(run: Run) -> tuple[int, int]:
+    return run.priority, run.arrival_index
--- a/packages/standins/src/ebonyhaven_standins/engine/_settings.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_settings.py
@@ -7,44 +7,44 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class EngineSettings:
-    """What one engine can do and how fast.
+    """Capacity, speed and simulated faults of one engine.
 
     Parameters
     ----------
     name : str
         Name of the backend server.
     model : str
-        Model that is loaded at the start.
+        Model that is loaded initially.
     capacity : int
-        Sequences that are decoded at the same time.
+        Maximum batch size.
     max_waiting : int
-        Requests that may wait for a place; further ones are refused.
+        Maximum length of the queue; further requests are refused.
     step_ms : float
-        Time of one decode step with a single sequence.
+        Duration of a decode step with a single sequence.
     full_step_ms : float
-        Time of one decode step with ``capacity`` sequences.
+        Duration of a decode step with ``capacity`` sequences.
     prefill_tokens_per_s : float
-        Rate at which uncached prompt tokens are computed.
+        Prefill rate of uncached tokens.
     cache_blocks : int
-        Prefix blocks of 64 characters that fit into memory.
+        Capacity of the prefix cache, in blocks of 64 characters.
     load_lag_s : float
-        Time between two samples of the load report.
+        Interval between samples of the load report.
     event_delay_s : float
-        Time after which a cache event is published.
+        Delay before a cache event is published.
     event_loss : float
-        Share of cache events that are never published, 0 to 1.
+        Share of cache events that are dropped, 0 to 1.
     order_s : float
-        Time that an order to load takes.
+        Delay between the acceptance of an order and its effect.
     checks_fence : bool
-        Whether old fencing numbers are refused.
+        Whether stale fencing numbers are refused.
     time_scale : float
         Factor on all durations above; 0.1 is ten times faster.
     keep_s : float
-        Time for which output is kept after the end of a run, not scaled.
+        Retention time of the output of a finished run, not scaled.
     unattended_s : float
-        Time without a reader after which a run is cancelled, not scaled.
-    seed : int
-        Seed of lost cache events and of run identities.
+        Time without a subscriber after which a run is cancelled, not scaled.
+    seed : int or None
+        Seed of the dropped cache events and of the random half of run origins.
     """
 
     name: str
@@ -65,23 +65,23 @@
     unattended_s: float = 60.0
     seed: int | None = None
 
-    def step_s(self, batch: int) -> float:
-        """Return the time of one decode step in seconds.
+    def compute_step_duration_s(self, batch_size: int) -> float:
+        """Return the duration of a decode step in seconds of real time.
 
         Parameters
         ----------
-        batch : int
+        batch_size : int
             Number of sequences in the step.
 
         Returns
         -------
         float
         """
-        fullness = max(batch - 1, 0) / max(self.capacity - 1, 1)
-        step_ms = self.step_ms + (self.full_step_ms - self.step_ms) * fullness
+        fill_ratio = max(batch_size - 1, 0) / max(self.capacity - 1, 1)
+        step_ms = self.step_ms + (self.full_step_ms - self.step_ms) * fill_ratio
         return step_ms * self.time_scale / 1000.0
 
     @property
-    def scaled_prefill_rate(self) -> float:
-        """Prompt tokens computed in a second of real time."""
+    def scaled_prefill_tokens_per_s(self) -> float:
+        """Prefill rate in tokens per second of real time."""
         return self.prefill_tokens_per_s / self.time_scale
--- a/packages/standins/src/ebonyhaven_standins/engine/_tokens.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_tokens.py
@@ -1,4 +1,4 @@
-"""Token counting, prompt prefixes and token texts."""
+"""Token counts, prompt prefix hashes and run origins."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 BLOCK_CHARS = 64
 CHARS_PER_TOKEN = 4
-ORIGIN_DIGITS = 6
-PREFIX_DIGITS = 16
+ORIGIN_HALF_DIGITS = 6
+PREFIX_HASH_DIGITS = 16
 
 
 def count_tokens(text: str) -> int:
-    """Return the number of tokens of a text, about four characters each.
+    """Return the number of tokens in a text, at four characters per token.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
 
 
 def hash_prefixes(prompt: str) -> list[str]:
-    """Return the hash of each whole-block prefix of a prompt.
+    """Return the hashes of the prompt prefixes that end at a block boundary.
 
     Parameters
     ----------
@@ -40,32 +40,35 @@
         k from 1.
     """
     running = hashlib.sha256()
-    prefixes = []
+    prefix_hashes = []
     for end in range(BLOCK_CHARS, len(prompt) + 1, BLOCK_CHARS):
         running.update(prompt[end - BLOCK_CHARS : end].encode())
-        prefixes.append(running.hexdigest()[:PREFIX_DIGITS])
-    return prefixes
+        prefix_hashes.append(running.hexdigest()[:PREFIX_HASH_DIGITS])
+    return prefix_hashes
 
 
-def draw_origin(prompt: str, source: random.Random) -> str:
-    """Return the identity of a fresh start.
+def generate_origin(prompt: str, generator: random.Random) -> str:
+    """Return a new origin: the identifier that all tokens of a run carry.
 
     Parameters
     ----------
     prompt : str
-    source : random.Random
+    generator : random.Random
 
     Returns
     -------
     str
-        Six hex digits of the prompt's hash and six random ones.
+        Six hex digits of the prompt's SHA-256 hash and six random ones.
     """
-    content = hashlib.sha256(prompt.encode()).hexdigest()[:ORIGIN_DIGITS]
-    return f"{content}{source.getrandbits(4 * ORIGIN_DIGITS):0{ORIGIN_DIGITS}x}"
+    prompt_digits = hashlib.sha256(prompt.encode()).hexdigest()[:ORIGIN_HALF_DIGITS]
+    return (
+        f"{prompt_digits}"
+        f"{generator.getrandbits(4 * ORIGIN_HALF_DIGITS):0{ORIGIN_HALF_DIGITS}x}"
+    )
 
 
-def read_origin(texts: Sequence[str]) -> str:
-    """Return the identity carried by token texts.
+def parse_origin(texts: Sequence[str]) -> str:
+    """Return the origin in the texts of tokens.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
@@ -190,7 +190,7 @@
             generator.shuffle(known)
             self._callers[name] = Caller(
                 reactor=self._reactor,
-                known_addresses=known,
+                bootstrap_addresses=known,
                 history=history,
                 generator=random.Random(generator.random()),
                 limits=self._scenario.limits,
--- a/packages/standins/src/ebonyhaven_standins/service/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/service/__init__.py
@@ -1,7 +1,7 @@
-"""Stand-in of a plain service."""
+"""Stand-in for a plain service."""
 
 from __future__ import annotations
 
-from ebonyhaven_standins.service._http import ServiceInterface, ServiceSettings
+from ebonyhaven_standins.service._http import ServiceHttpApi, ServiceSettings
 
-__all__ = ["ServiceInterface", "ServiceSettings"]
+__all__ = ["ServiceHttpApi", "ServiceSettings"]
--- a/packages/standins/src/ebonyhaven_standins/service/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/service/__main__.py
@@ -1,6 +1,6 @@
 """Command line of the plain service stand-in.
 
-The signal SIGUSR1 makes the service leave: it refuses new calls.
+SIGUSR1 marks the service as leaving: it refuses new requests.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from ebonyhaven_standins._execution_log import ExecutionLog
 from ebonyhaven_standins._serving import serve_app
-from ebonyhaven_standins.service import ServiceInterface, ServiceSettings
+from ebonyhaven_standins.service import ServiceHttpApi, ServiceSettings
 
 
 def main(
@@ -26,12 +26,12 @@
     from twisted.internet import reactor
 
     settings = ServiceSettings(name=name, delay_ms=delay_ms)
-    service = ServiceInterface(settings, ExecutionLog(log, name), reactor)
-    signal.signal(signal.SIGUSR1, lambda *_: _leave(service))
+    service = ServiceHttpApi(settings, ExecutionLog(log, name), reactor)
+    signal.signal(signal.SIGUSR1, lambda *_: _mark_leaving(service))
     serve_app(service.app, address)
 
 
-def _leave(service: ServiceInterface) -> None:
+def _mark_leaving(service: ServiceHttpApi) -> None:
     service.leaving = True
 
 
--- a/packages/standins/src/ebonyhaven_standins/service/_http.py
+++ b/packages/standins/src/ebonyhaven_standins/service/_http.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the plain service stand-in."""
+"""HTTP API of the plain service stand-in."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ServiceSettings:
-    """Name and speed of a service.
+    """Name and response delay of a service.
 
     Parameters
     ----------
     name : str
         Name of the backend server.
     delay_ms : float
-        Time between the execution of a call and its answer.
+        Time between the execution of a request and its response.
     """
 
     name: str
     delay_ms: float = 0.0
 
 
-class ServiceInterface:
-    """Executes any call and records it.
+class ServiceHttpApi:
+    """Executes every request and records it in the execution log.
 
     Parameters
     ----------
@@ -53,13 +53,13 @@
 
     @app.route("/health", methods=["GET"])
     def report_health(self, request):
-        """Answer that the process serves."""
+        """Return the name of the server."""
         self._add_load_headers(request)
         return answer_json(request, {"server": self._settings.name})
 
     @app.route("/", branch=True)
     def execute(self, request):
-        """Execute a call, record it and answer after the delay."""
+        """Execute a request, record it and respond after the delay."""
         if self.leaving:
             self._add_load_headers(request)
             return answer_json(request, {"error": "leaving"}, 503)
--- a/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
@@ -59,7 +59,7 @@
 def _make_caller(reactor: Any, cluster: Cluster) -> Caller:
     return Caller(
         reactor=reactor,
-        known_addresses=[cluster.addresses[_NODE]],
+        bootstrap_addresses=[cluster.addresses[_NODE]],
         history=HistoryWriter(pathlib.Path("/dev/null")),
         generator=random.Random(1),
     )
--- a/tests/integration/test_demo_path.py
+++ b/tests/integration/test_demo_path.py
@@ -86,7 +86,7 @@
 
 
 def check_whole(report, undecidable):
-    assert report.holds, report.violations
+    assert report.passed, report.violations
     assert report.requests == len(make_arrivals())
     assert report.completed + undecidable == report.requests
     assert report.unresumed == 0
--- a/tests/integration/test_leaving.py
+++ b/tests/integration/test_leaving.py
@@ -52,7 +52,7 @@
             "a shorter list",
             LIST_DEADLINE_S,
         )
-        late = trial.send(at="n1", patience_s=0.5)
+        late = trial.send(at="n1", total_timeout_s=0.5)
         outcomes = {c["outcome"] for c in late.result()["connections"]}
         assert outcomes <= {"not_run", "refused"}
         assert stream.result()["outcome"] == "completed"
--- a/tests/integration/test_losses.py
+++ b/tests/integration/test_losses.py
@@ -119,11 +119,11 @@
         for stream in neighbours:
             stream.wait_for_tokens(20)
         poison = f"{make_prompt()} [[crash]]"
-        guilty = trial.send(poison, at="n1", patience_s=20.0)
+        guilty = trial.send(poison, at="n1", total_timeout_s=20.0)
         record = guilty.result()
         assert record["outcome"] == "failed", record["connections"]
         begun = len(trial.lines("start"))
-        again = trial.send(poison, at="n1", patience_s=20.0)
+        again = trial.send(poison, at="n1", total_timeout_s=20.0)
         assert again.result()["outcome"] == "not_run"
         assert len(trial.lines("start")) == begun
         assert len(trial.lines("crash")) <= 2
@@ -141,7 +141,7 @@
 
 def test_a_request_that_crashes_engines_behind_a_proxy_stops_after_two():
     with deploy(engines=4, instances=1, link_engines=True) as trial:
-        guilty = trial.send(f"{make_prompt()} [[crash]]", patience_s=20.0)
+        guilty = trial.send(f"{make_prompt()} [[crash]]", total_timeout_s=20.0)
         assert guilty.result()["outcome"] == "failed", describe_end(guilty.result())
         assert len(trial.lines("crash")) <= 2
         trial.finish()
@@ -157,7 +157,7 @@
         assert trial.send(poison, at="n1").result()["outcome"] == "failed"
         time.sleep(3.0)  # instances may take this long to share their suspicions
         begun = len(trial.lines("start"))
-        again = trial.send(poison, at="n2", patience_s=10.0)
+        again = trial.send(poison, at="n2", total_timeout_s=10.0)
         assert again.result()["outcome"] == "not_run"
         assert len(trial.lines("start")) == begun
         assert len(trial.lines("crash")) <= 2
--- a/tests/integration/test_once.py
+++ b/tests/integration/test_once.py
@@ -164,7 +164,7 @@
             request_class=PROMPT_CLASS,
             key="k1",
             max_tokens=20,
-            patience_s=2.0,
+            total_timeout_s=2.0,
         )
         time.sleep(4.0)  # longer than a claim may be dispatched
         trial.cluster.resume("n1")
--- a/tests/integration/trials.py
+++ b/tests/integration/trials.py
@@ -148,7 +148,7 @@
         *,
         at: str | None = None,
         max_tokens: int = 120,
-        patience_s: float = 45.0,
+        total_timeout_s: float = 45.0,
         sends_received: bool = True,
         request_class: str = STEADY,
         **fields,
@@ -162,7 +162,10 @@
             **fields,
         )
         return self.resend(
-            request, at=at, patience_s=patience_s, sends_received=sends_received
+            request,
+            at=at,
+            total_timeout_s=total_timeout_s,
+            sends_received=sends_received,
         )
 
     def resend(
@@ -170,17 +173,21 @@
         request: CompletionRequest,
         *,
         at: str | None = None,
-        patience_s: float = 45.0,
+        total_timeout_s: float = 45.0,
         sends_received: bool = True,
     ) -> Stream:
         """Send a request from a caller of its own."""
         future: concurrent.futures.Future = concurrent.futures.Future()
-        limits = CallerLimits(patience_s=patience_s, silence_s=10.0, answer_s=10.0)
+        limits = CallerLimits(
+            total_timeout_s=total_timeout_s,
+            idle_timeout_s=10.0,
+            response_timeout_s=10.0,
+        )
 
         async def start():
             caller = Caller(
                 reactor=reactor,
-                known_addresses=[self.cluster.addresses[n] for n in self.instances],
+                bootstrap_addresses=[self.cluster.addresses[n] for n in self.instances],
                 history=self._history,
                 generator=random.Random(1),
                 limits=limits,
@@ -249,7 +256,7 @@
         records = [stream.result() for stream in streams]
         lines = read_execution_logs(self.cluster.execution_logs.values())
         report = check(Evidence(records, lines, self.timeline.events))
-        assert report.holds, report.violations
+        assert report.passed, report.violations
         return report
 
     def finish_completed(self):
--- a/tests/standins/test_caller.py
+++ b/tests/standins/test_caller.py
@@ -10,8 +10,8 @@
     EventParser,
     HistoryWriter,
     parse_event_id,
+    parse_token_event,
     read_history,
-    read_token,
 )
 from twisted.internet import defer, error, task
 
@@ -36,7 +36,7 @@
 
 
 def test_a_token_carries_offset_generation_and_server():
-    token = read_token(EventParser().feed(STREAM)[0])
+    token = parse_token_event(EventParser().feed(STREAM)[0])
     assert token.event_id == (17, "9f3a61c2", "s-07")
     assert token.text == "ab:17 "
     assert parse_event_id("3-aa-s1").server == "s1"
@@ -71,7 +71,7 @@
     entries = EntryList(
         reactor=task.Clock(),
         http=FakeHttp(),
-        known_addresses=["127.0.0.1:1", "127.0.0.2:1"],
+        bootstrap_addresses=["127.0.0.1:1", "127.0.0.2:1"],
     )
     results = []
     defer.Deferred.fromCoroutine(entries.choose()).addBoth(results.append)
--- a/tests/standins/test_caller_connections.py
+++ b/tests/standins/test_caller_connections.py
@@ -21,7 +21,9 @@
 from tests.reactor_thread import run_in_reactor
 
 FILLERS = 4
-LIMITS = CallerLimits(connect_s=30.0, answer_s=0.3, patience_s=0.5)
+LIMITS = CallerLimits(
+    connect_timeout_s=30.0, response_timeout_s=0.3, total_timeout_s=0.5
+)
 REQUEST = CompletionRequest(
     workspace="studio-a", request_class="look-up", prompt="p", max_tokens=1
 )
@@ -59,7 +61,7 @@
         history = HistoryWriter(path)
         caller = Caller(
             reactor=reactor,
-            known_addresses=[address],
+            bootstrap_addresses=[address],
             history=history,
             generator=random.Random(1),
             limits=LIMITS,
--- a/tests/standins/test_checker.py
+++ b/tests/standins/test_checker.py
@@ -85,7 +85,7 @@
 
 def test_a_clean_history_passes():
     report = run_check()
-    assert report.holds
+    assert report.passed
     assert report.completed == 1
     assert report.extra_resource_ratio == 0.0
 
@@ -151,7 +151,7 @@
         make_line("continue", at=11.5, server="s2", offset=2),
         make_line("continue", at=13.5, offset=4),
     ]
-    assert run_check(make_switched_record(), sorted(lines)).holds
+    assert run_check(make_switched_record(), sorted(lines)).passed
 
 
 def test_a_foreign_answer_is_found():
@@ -180,7 +180,7 @@
 
 
 def test_a_refusal_of_what_never_ran_passes():
-    assert run_check(make_refusal(), lines=[]).holds
+    assert run_check(make_refusal(), lines=[]).passed
 
 
 def test_a_refusal_of_what_ran_before_is_found():
@@ -197,7 +197,7 @@
     record = make_record()
     refusal = make_connection(outcome="not_run", status=503, sent_at=8.0, ended_at=8.5)
     record["connections"].insert(0, refusal)
-    assert run_check(record).holds
+    assert run_check(record).passed
 
 
 def test_a_second_run_of_a_not_repeatable_request_is_found():
@@ -205,7 +205,7 @@
     report = run_check(make_record(repeatable=False), lines=lines)
     assert kinds_of(report) == [ViolationKind.SECOND_RUN]
     assert report.summarize()["runs_of_not_repeatable_over_one"] == 1
-    assert run_check(make_record(), lines=lines).holds
+    assert run_check(make_record(), lines=lines).passed
 
 
 def test_work_for_a_server_that_left_is_found():
@@ -213,8 +213,8 @@
     back = TimelineEvent(5.0, TimelineKind.SERVER_LIVE, "s1")
     report = run_check(timeline=[leaving])
     assert kinds_of(report) == [ViolationKind.WORK_AFTER_LEAVING]
-    assert run_check(timeline=[leaving, back]).holds
-    assert run_check(timeline=[leaving._replace(time=5.0)]).holds
+    assert run_check(timeline=[leaving, back]).passed
+    assert run_check(timeline=[leaving._replace(time=5.0)]).passed
 
 
 def test_a_request_cut_by_a_shutdown_is_found():
@@ -224,7 +224,7 @@
     assert kinds_of(run_check(record, timeline=[shutdown])) == [
         ViolationKind.CUT_BY_SHUTDOWN
     ]
-    assert run_check(timeline=[shutdown]).holds
+    assert run_check(timeline=[shutdown]).passed
 
 
 def make_samples(*versions):
@@ -235,21 +235,21 @@
 
 
 def test_a_configuration_that_reverts_is_found():
-    assert run_check(timeline=make_samples(1, 2, 2)).holds
+    assert run_check(timeline=make_samples(1, 2, 2)).passed
     report = run_check(timeline=make_samples(1, 2, 1))
     assert kinds_of(report) == [ViolationKind.CONFIGURATION_REVERTED]
 
 
 def test_a_configuration_that_comes_late_is_found():
     accepted = TimelineEvent(9.0, TimelineKind.CONFIGURATION_ACCEPTED, "", 2)
-    assert run_check(timeline=[accepted, *make_samples(1, 1, 2)]).holds
+    assert run_check(timeline=[accepted, *make_samples(1, 1, 2)]).passed
     report = run_check(timeline=[accepted, *make_samples(1, 1, 1)])
     assert kinds_of(report) == [ViolationKind.CONFIGURATION_LATE]
 
 
 def test_a_process_that_starts_after_a_change_has_as_long_from_its_start():
     accepted = TimelineEvent(-90.0, TimelineKind.CONFIGURATION_ACCEPTED, "", 2)
-    assert run_check(timeline=[accepted, *make_samples(0, 2)]).holds
+    assert run_check(timeline=[accepted, *make_samples(0, 2)]).passed
     report = run_check(timeline=[accepted, *make_samples(0, 0, 0)])
     assert kinds_of(report) == [ViolationKind.CONFIGURATION_LATE]
 
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -13,7 +13,7 @@
     LoadSampler,
     PrefixCache,
     RefusedError,
-    Start,
+    StartRequest,
     hash_prefixes,
 )
 from twisted.internet.task import Clock
@@ -61,7 +61,7 @@
 
     def start(self, run_id="r1", *, prompt="p" * 64, **fields):
         body = {"run_id": run_id, "generation": "g1", "model": "m", "prompt": prompt}
-        run, offset = self.engine.start(Start.from_body({**body, **fields}))
+        run, offset = self.engine.start(StartRequest.from_body({**body, **fields}))
         reader = CollectingReader()
         run.attach(reader, offset)
         return run, reader
@@ -159,9 +159,13 @@
 
 def test_batch_slows_down_as_it_grows():
     settings = EngineSettings(name="s1", model="m")
-    assert settings.step_s(1) == 0.02
-    assert settings.step_s(16) == 0.04
-    assert settings.step_s(1) < settings.step_s(8) < settings.step_s(16)
+    assert settings.compute_step_duration_s(1) == 0.02
+    assert settings.compute_step_duration_s(16) == 0.04
+    assert (
+        settings.compute_step_duration_s(1)
+        < settings.compute_step_duration_s(8)
+        < settings.compute_step_duration_s(16)
+    )
 
 
 def test_uncached_prompt_costs_prefill_and_a_cached_one_does_not():
@@ -220,7 +224,7 @@
 def test_cache_events_come_late_and_with_gaps():
     clock = Clock()
     feed = CacheEventFeed(
-        delay_s=1.0, loss=0.3, source=random.Random(1), clock=clock.seconds
+        delay_s=1.0, loss_share=0.3, generator=random.Random(1), clock=clock.seconds
     )
     cache = PrefixCache(2, feed)
     cache.store(hash_prefixes("a" * 64 * 40))
@@ -235,7 +239,7 @@
 
 def test_evicted_blocks_are_the_ends_of_prefixes():
     feed = CacheEventFeed(
-        delay_s=0.0, loss=0.0, source=random.Random(1), clock=Clock().seconds
+        delay_s=0.0, loss_share=0.0, generator=random.Random(1), clock=Clock().seconds
     )
     cache = PrefixCache(2, feed)
     prefixes = hash_prefixes("a" * 64 * 3)
@@ -257,13 +261,13 @@
 def test_orders_take_time_and_old_fences_are_refused():
     bench = Bench(checks_fence=True, order_s=0.5)
     order = {"order_id": "o1", "kind": "load", "target": "model", "name": "m2"}
-    bench.engine.state.take_order({**order, "fence": 3})
+    bench.engine.state.accept_order({**order, "fence": 3})
     assert bench.refusal(model="m2") == (404, "model_not_loaded")
     bench.advance(0.6)
     assert bench.refusal(model="m2") is None
     assert bench.engine.state.fence == 3
     try:
-        bench.engine.state.take_order({**order, "order_id": "o2", "fence": 2})
+        bench.engine.state.accept_order({**order, "order_id": "o2", "fence": 2})
     except Exception as error:
         assert type(error).__name__ == "StaleFenceError"
     else:
