--- a/packages/standins/src/ebonyhaven_standins/_instance_list.py
+++ b/packages/standins/src/ebonyhaven_standins/_instance_list.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-class LaggingList:
+class LaggingInstanceList:
     """Shows registrations only after a lag.
 
     Parameters
--- a/packages/standins/src/ebonyhaven_standins/_serving.py
+++ b/packages/standins/src/ebonyhaven_standins/_serving.py
@@ -11,7 +11,7 @@
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
-class QuietSite(server.Site):
+class SiteWithoutAccessLog(server.Site):
     """Site without an access log."""
 
     noisy = False
@@ -25,7 +25,7 @@
         """
 
 
-def answer_json(request: http.Request, body: object, status: int = http.OK) -> bytes:
+def respond_json(request: http.Request, body: object, status: int = http.OK) -> bytes:
     """Set status and content type and return the encoded body.
 
     Parameters
@@ -45,7 +45,7 @@
     return json.dumps(body, separators=(",", ":")).encode()
 
 
-def read_json(request: http.Request) -> dict:
+def read_json_object(request: http.Request) -> dict:
     """Return the JSON object in the body of a request.
 
     Parameters
@@ -67,7 +67,7 @@
     return body
 
 
-def query_int(request: http.Request, name: bytes, default: int) -> int:
+def read_query_int(request: http.Request, name: bytes, default: int) -> int:
     """Return an integer of the query string.
 
     Parameters
@@ -102,7 +102,7 @@
     """
     host, _, port = address.rpartition(":")
     endpoint = endpoints.TCP4ServerEndpoint(reactor, int(port), interface=host)
-    listening = endpoint.listen(QuietSite(app.resource()))
+    listening = endpoint.listen(SiteWithoutAccessLog(app.resource()))
     listening.addCallbacks(_announce_ready, _stop_with_error)
     reactor.run()
 
--- a/packages/standins/src/ebonyhaven_standins/_rates.py
+++ b/packages/standins/src/ebonyhaven_standins/_token_bucket.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class RateLimit:
+class TokenBucket:
     """Token bucket.
 
     Parameters
--- a/packages/standins/src/ebonyhaven_standins/bench/_losses.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_losses.py
@@ -28,7 +28,7 @@
     Arrival,
     Deployment,
     Scenario,
-    ServerPlan,
+    ServerSpec,
     TimedAction,
     start_deployment,
 )
@@ -221,7 +221,7 @@
     Deployment
     """
     engines = [
-        ServerPlan(name=f"s{number + 1:02d}", data_centre=DATA_CENTRES[number % 3])
+        ServerSpec(name=f"s{number + 1:02d}", data_centre=DATA_CENTRES[number % 3])
         for number in range(ENGINES)
     ]
     return Deployment(
@@ -229,7 +229,7 @@
         instances={f"n{n + 1}": name for n, name in enumerate(DATA_CENTRES)},
         engines=engines,
         workspaces=WORKSPACES,
-        behind_proxy=True,
+        uses_fault_proxy=True,
         node_settings={"resume": mode},
         seed=seed,
     )
--- a/packages/standins/src/ebonyhaven_standins/bench/_node_sets.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_node_sets.py
@@ -10,7 +10,10 @@
 from typing import Self
 
 from ebonyhaven_standins.cluster import ChildProcess, Cluster
-from ebonyhaven_standins.control_nodes import DATA_CENTRES, ControlNodes
+from ebonyhaven_standins.control_node_processes import (
+    DATA_CENTRE_COUNT,
+    ControlNodeProcesses,
+)
 from ebonyhaven_standins.metric_samples import MetricSamples
 
 CALL_TIMEOUT_S = 40.0
@@ -103,7 +106,7 @@
 
     def __init__(self, count: int, *, loss: float = 0.0):
         super().__init__(count)
-        self._nodes = self._stack.enter_context(ControlNodes(count, loss=loss))
+        self._nodes = self._stack.enter_context(ControlNodeProcesses(count, loss=loss))
 
     def restart(self, name: str) -> None:
         """See `NodeSet.restart`."""
@@ -152,7 +155,7 @@
     def _start(self, name: str, *, wait: bool) -> None:
         self._cluster.start_node(
             name,
-            data_centre=f"dc-{self.names.index(name) % DATA_CENTRES}",
+            data_centre=f"dc-{self.names.index(name) % DATA_CENTRE_COUNT}",
             wait=wait,
             control_loss=self._loss,
         )
--- a/packages/standins/src/ebonyhaven_standins/bench/_soak.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_soak.py
@@ -22,7 +22,7 @@
     Deployment,
     Runner,
     Scenario,
-    ServerPlan,
+    ServerSpec,
     TimedAction,
     start_deployment,
 )
@@ -107,7 +107,7 @@
         name = self._generator.choice(names)
         self._struck.add(name)
         self.counts[fault.name] += 1
-        runner.announce(f"{fault.name} {name}")
+        runner.report_action(f"{fault.name} {name}")
         fault.begin(runner, name)
         duration_s = fault.draw_duration_s(self._generator)
         self._reactor.callLater(duration_s, self._end, runner, fault, name)
@@ -168,7 +168,7 @@
                 cluster=cluster,
                 instances=list(deployment.instances),
                 scenario=scenario,
-                show=_show,
+                on_update=_show,
             )
             evidence = await runner.run()
             await injector.wait_until_over()
@@ -205,7 +205,7 @@
 def _make_deployment(seed: int) -> Deployment:
     centres = ("dc-a", "dc-b", "dc-c")
     engines = [
-        ServerPlan(name=f"s{number + 1:02d}", data_centre=centres[number % 3])
+        ServerSpec(name=f"s{number + 1:02d}", data_centre=centres[number % 3])
         for number in range(ENGINES)
     ]
     return Deployment(
@@ -213,7 +213,7 @@
         instances={f"n{n + 1}": centres[n % 3] for n in range(INSTANCES)},
         engines=engines,
         workspaces=WORKSPACES,
-        behind_proxy=True,
+        uses_fault_proxy=True,
         seed=seed,
     )
 
--- a/packages/standins/src/ebonyhaven_standins/bench/load.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/load.py
@@ -36,7 +36,7 @@
     ANALYSIS,
     LOOK_UP,
     Deployment,
-    ServerPlan,
+    ServerSpec,
     start_deployment,
 )
 
@@ -326,7 +326,7 @@
 
 def _start(cluster: Cluster, scheduling: str, seed: int) -> None:
     engines = [
-        ServerPlan(
+        ServerSpec(
             name=name,
             data_centre=DATA_CENTRES[index % len(DATA_CENTRES)],
             options=(
--- a/packages/standins/src/ebonyhaven_standins/cluster/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/__init__.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from ebonyhaven_standins.cluster._addresses import allocate_address, derive_block
+from ebonyhaven_standins.cluster._addresses import (
+    allocate_address,
+    derive_loopback_prefix,
+)
 from ebonyhaven_standins.cluster._cluster import (
     DEFAULT_DATA_CENTRE,
     DEFAULT_MODEL,
@@ -12,12 +15,12 @@
     PLATFORM,
     SERVICE_POOL,
     Cluster,
+    derive_process_seed,
     find_binary,
-    mix_seed,
 )
 from ebonyhaven_standins.cluster._exceptions import ProcessError
-from ebonyhaven_standins.cluster._fault_proxy import FaultProxyCaller
-from ebonyhaven_standins.cluster._platform import PlatformCaller
+from ebonyhaven_standins.cluster._fault_proxy import FaultProxyClient
+from ebonyhaven_standins.cluster._platform import PlatformClient
 from ebonyhaven_standins.cluster._process_set import ProcessSet
 from ebonyhaven_standins.cluster._processes import ChildProcess
 
@@ -31,12 +34,12 @@
     "SERVICE_POOL",
     "ChildProcess",
     "Cluster",
-    "FaultProxyCaller",
-    "PlatformCaller",
+    "FaultProxyClient",
+    "PlatformClient",
     "ProcessError",
     "ProcessSet",
     "allocate_address",
-    "derive_block",
+    "derive_loopback_prefix",
     "find_binary",
-    "mix_seed",
+    "derive_process_seed",
 ]
--- a/packages/standins/src/ebonyhaven_standins/cluster/_addresses.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_addresses.py
@@ -14,7 +14,7 @@
 _numbers = itertools.count()
 
 
-def derive_block(process_id: int) -> str:
+def derive_loopback_prefix(process_id: int) -> str:
     """Return the first three octets of the loopback block of a process.
 
     Parameters
@@ -46,4 +46,4 @@
         number = next(_numbers)
     host = 1 + number % _HOSTS_A_BLOCK
     port = FIRST_PORT + number % (LAST_PORT - FIRST_PORT)
-    return f"{derive_block(os.getpid())}.{host}:{port}"
+    return f"{derive_loopback_prefix(os.getpid())}.{host}:{port}"
--- a/packages/standins/src/ebonyhaven_standins/cluster/_cluster.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_cluster.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from ebonyhaven_standins.cluster._addresses import allocate_address
-from ebonyhaven_standins.cluster._fault_proxy import FaultProxyCaller
-from ebonyhaven_standins.cluster._platform import PlatformCaller
+from ebonyhaven_standins.cluster._fault_proxy import FaultProxyClient
+from ebonyhaven_standins.cluster._platform import PlatformClient
 from ebonyhaven_standins.cluster._process_set import ProcessSet
 
 PLATFORM = "platform"
@@ -22,7 +22,7 @@
 SERVICE_POOL = "windows"
 
 
-def mix_seed(name: str, seed: int) -> int:
+def derive_process_seed(name: str, seed: int) -> int:
     """Return a seed that differs between the processes of one cluster.
 
     Parameters
@@ -90,9 +90,9 @@
         return self._launch(PLATFORM, command, wait=wait)
 
     @property
-    def platform(self) -> PlatformCaller:
+    def platform(self) -> PlatformClient:
         """Blocking caller of the platform."""
-        return PlatformCaller(self.addresses[PLATFORM])
+        return PlatformClient(self.addresses[PLATFORM])
 
     def start_fault_proxy(self, *, wait: bool = True) -> str:
         """Start the fault proxy and return its control address."""
@@ -152,7 +152,7 @@
             "--time-scale",
             str(time_scale),
             "--seed",
-            str(mix_seed(name, seed)),
+            str(derive_process_seed(name, seed)),
         ]
         command += options
         if checks_fence:
@@ -302,14 +302,14 @@
         return self.platform.write_declaration(declaration)
 
     @property
-    def fault_proxy(self) -> FaultProxyCaller:
+    def fault_proxy(self) -> FaultProxyClient:
         """Blocking caller of the fault proxy."""
-        return FaultProxyCaller(self.addresses[FAULT_PROXY])
+        return FaultProxyClient(self.addresses[FAULT_PROXY])
 
     def add_link(
         self, name: str, *, target: str, side_a: str = "", side_b: str = ""
     ) -> str:
-        """Add a link to the fault proxy; see `FaultProxyCaller.add_link`."""
+        """Add a link to the fault proxy; see `FaultProxyClient.add_link`."""
         return self.fault_proxy.add_link(
             name, target=target, side_a=side_a, side_b=side_b
         )
@@ -322,7 +322,7 @@
         sides: tuple[str, str] | None = None,
         delay_ms: float = 0.0,
     ) -> None:
-        """Set a fault; see `FaultProxyCaller.set_fault`."""
+        """Set a fault; see `FaultProxyClient.set_fault`."""
         self.fault_proxy.set_fault(kind, link=link, sides=sides, delay_ms=delay_ms)
 
     @property
--- a/packages/standins/src/ebonyhaven_standins/cluster/_fault_proxy.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_fault_proxy.py
@@ -9,7 +9,7 @@
 from ebonyhaven_standins.cluster._platform import CALL_TIMEOUT_S
 
 
-class FaultProxyCaller:
+class FaultProxyClient:
     """Adds links to the fault proxy and sets their faults.
 
     Parameters
--- a/packages/standins/src/ebonyhaven_standins/cluster/_platform.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_platform.py
@@ -18,7 +18,7 @@
 CURRENT_ROW = "configuration/current"
 
 
-class PlatformCaller:
+class PlatformClient:
     """Calls the platform with the standard library's blocking client.
 
     Parameters
--- a/packages/standins/src/ebonyhaven_standins/control_nodes.py
+++ b/packages/standins/src/ebonyhaven_standins/control_node_processes.py
@@ -10,10 +10,10 @@
 from ebonyhaven_standins.cluster import ProcessSet, allocate_address
 
 CALL_TIMEOUT_S = 40.0
-DATA_CENTRES = 3
+DATA_CENTRE_COUNT = 3
 
 
-class ControlNodes(ProcessSet):
+class ControlNodeProcesses(ProcessSet):
     """Processes that find each other through a list of all of them.
 
     Parameters
@@ -52,7 +52,7 @@
             "instance": name,
             "caller_address": self.caller_addresses[name],
             "control_address": self.control_addresses[name],
-            "data_centre": f"dc-{self.names.index(name) % DATA_CENTRES}",
+            "data_centre": f"dc-{self.names.index(name) % DATA_CENTRE_COUNT}",
             "seeds": self.control_addresses,
             **self._settings,
             **settings,
@@ -85,7 +85,7 @@
         members: list[dict[str, Any]] = json.loads(self.call(name, "/members"))
         return {record["name"] for record in members if record["state"] == 0}
 
-    def list_offered(self, name: str, *, answers: int = 12) -> set[str]:
+    def list_entry_instances(self, name: str, *, answers: int = 12) -> set[str]:
         """Return whom a process offers in several answers together.
 
         Parameters
@@ -99,7 +99,7 @@
             offered |= {entry["instance"] for entry in entries}
         return offered
 
-    def agree(self) -> bool:
+    def has_converged(self) -> bool:
         """Return whether each process regards all of them as live."""
         everybody = set(self.names)
         return all(self.list_live(name) == everybody for name in self.names)
--- a/packages/standins/src/ebonyhaven_standins/demo/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ebonyhaven_standins.demo._run import (
-    count_undecidable,
+    count_unavoidable_unknowns,
     decide_exit_code,
     make_deployment,
     run_demo,
@@ -11,7 +11,7 @@
 from ebonyhaven_standins.demo._workload import make_arrivals
 
 __all__ = [
-    "count_undecidable",
+    "count_unavoidable_unknowns",
     "decide_exit_code",
     "make_arrivals",
     "make_deployment",
--- a/packages/standins/src/ebonyhaven_standins/demo/_run.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_run.py
@@ -21,7 +21,7 @@
     Progress,
     Runner,
     Scenario,
-    ServerPlan,
+    ServerSpec,
     TimedAction,
     kill_busiest_engine,
     kill_busiest_instance,
@@ -38,7 +38,7 @@
 def make_deployment() -> Deployment:
     """Return four engines and three instances in three data centres."""
     engines = [
-        ServerPlan(name=f"s{number + 1:02d}", data_centre=DATA_CENTRES[number % 3])
+        ServerSpec(name=f"s{number + 1:02d}", data_centre=DATA_CENTRES[number % 3])
         for number in range(4)
     ]
     instances = {f"n{number + 1}": name for number, name in enumerate(DATA_CENTRES)}
@@ -72,7 +72,7 @@
             )
 
 
-def count_undecidable(records: Iterable[Mapping[str, Any]]) -> int:
+def count_unavoidable_unknowns(records: Iterable[Mapping[str, Any]]) -> int:
     """Return the requests for which ``unknown`` is the only true answer.
 
     A request that must not be repeated and had no token when its engine was killed
@@ -95,20 +95,20 @@
     )
 
 
-def decide_exit_code(report: Report, *, undecidable: int = 0) -> int:
+def decide_exit_code(report: Report, *, unavoidable_unknowns: int = 0) -> int:
     """Return 0 if every promise held and every request completed, else 1.
 
     Parameters
     ----------
     report : Report
-    undecidable : int
-        Requests that could not be completed, see `count_undecidable`.
+    unavoidable_unknowns : int
+        Requests that could not be completed, see `count_unavoidable_unknowns`.
 
     Returns
     -------
     int
     """
-    is_complete = report.completed + undecidable == report.requests
+    is_complete = report.completed + unavoidable_unknowns == report.requests
     return 0 if report.passed and is_complete else 1
 
 
@@ -141,7 +141,7 @@
             cluster=cluster,
             instances=list(deployment.instances),
             scenario=scenario,
-            show=show,
+            on_update=show,
         )
         evidence = await runner.run()
     report = check(evidence)
@@ -149,5 +149,7 @@
         print(f"broken: {violation.kind} {violation.subject}: {violation.detail}")
     explain_incomplete(evidence)
     print(json.dumps(report.summarize()), flush=True)
-    undecidable = count_undecidable(evidence.records)
-    raise SystemExit(decide_exit_code(report, undecidable=undecidable))
+    unavoidable_unknowns = count_unavoidable_unknowns(evidence.records)
+    raise SystemExit(
+        decide_exit_code(report, unavoidable_unknowns=unavoidable_unknowns)
+    )
--- a/packages/standins/src/ebonyhaven_standins/demo/_texts.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_texts.py
@@ -43,7 +43,7 @@
 )
 
 
-def write_analysis(generator: random.Random, pages: tuple[str, ...]) -> str:
+def generate_analysis_prompt(generator: random.Random, pages: tuple[str, ...]) -> str:
     """Return a long prompt put together from sample pages.
 
     Parameters
@@ -57,7 +57,7 @@
     return "\n\n".join([*chosen, f"File {generator.getrandbits(48):012x}."])
 
 
-def write_look_up(generator: random.Random) -> str:
+def generate_look_up_prompt(generator: random.Random) -> str:
     """Return a short question with a number drawn from the generator."""
     template = generator.choice(LOOK_UPS)
     return template.format(number=generator.getrandbits(40))
--- a/packages/standins/src/ebonyhaven_standins/demo/_workload.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_workload.py
@@ -8,8 +8,8 @@
 from ebonyhaven_standins.demo._texts import (
     CASTING_NOTES,
     DOSSIER_PAGES,
-    write_analysis,
-    write_look_up,
+    generate_analysis_prompt,
+    generate_look_up_prompt,
 )
 from ebonyhaven_standins.scenario import ANALYSIS, LOOK_UP, Arrival
 
@@ -51,7 +51,7 @@
     request = CompletionRequest(
         workspace=_choose_workspace(generator),
         request_class=ANALYSIS,
-        prompt=write_analysis(generator, CASTING_NOTES),
+        prompt=generate_analysis_prompt(generator, CASTING_NOTES),
         max_tokens=generator.randint(*ANALYSIS_TOKENS),
     )
     return Arrival(generator.uniform(0, ARRIVAL_SPAN_S), request)
@@ -61,7 +61,7 @@
     request = CompletionRequest(
         workspace="licences",
         request_class=ANALYSIS,
-        prompt=write_analysis(generator, DOSSIER_PAGES),
+        prompt=generate_analysis_prompt(generator, DOSSIER_PAGES),
         max_tokens=generator.randint(*ANALYSIS_TOKENS),
         repeatable=False,
     )
@@ -72,7 +72,7 @@
     request = CompletionRequest(
         workspace=_choose_workspace(generator),
         request_class=LOOK_UP,
-        prompt=write_look_up(generator),
+        prompt=generate_look_up_prompt(generator),
         max_tokens=generator.randint(*LOOK_UP_TOKENS),
     )
     return Arrival(generator.uniform(0, ARRIVAL_SPAN_S), request)
--- a/packages/standins/src/ebonyhaven_standins/engine/_http.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_http.py
@@ -6,7 +6,7 @@
 from twisted.internet import defer
 from twisted.web import http
 
-from ebonyhaven_standins._serving import answer_json, query_int, read_json
+from ebonyhaven_standins._serving import read_json_object, read_query_int, respond_json
 from ebonyhaven_standins.engine._engine import Engine, RefusedError, StartRequest
 from ebonyhaven_standins.engine._load import LoadSampler
 from ebonyhaven_standins.engine._orders import StaleFenceError
@@ -73,34 +73,36 @@
         if error.generation is not None:
             body["generation"] = error.generation
         self._add_load_headers(request)
-        return answer_json(request, body, error.status)
+        return respond_json(request, body, error.status)
 
     @app.handle_errors(ValueError, KeyError, TypeError)
     def handle_malformed(self, request, failure):
         """Respond to a malformed request with status 400."""
         body = {"error": "malformed", "reason": failure.getErrorMessage()}
-        return answer_json(request, body, http.BAD_REQUEST)
+        return respond_json(request, body, http.BAD_REQUEST)
 
     @app.route("/v1/completions", methods=["POST"])
     def start_run(self, request):
         """Start, continue or attach to a run and stream its output."""
-        run, offset = self._engine.start(StartRequest.from_body(read_json(request)))
+        run, offset = self._engine.start(
+            StartRequest.from_body(read_json_object(request))
+        )
         return self._stream(request, run, offset)
 
     @app.route("/v1/runs/<run_id>", methods=["GET"])
     def attach_run(self, request, run_id):
         """Attach to a run and stream its output from an offset."""
         generation = request.args.get(b"generation", [b""])[0].decode()
-        fence = query_int(request, b"fence", 0)
-        offset = query_int(request, b"from", 0)
+        fence = read_query_int(request, b"fence", 0)
+        offset = read_query_int(request, b"from", 0)
         run = self._engine.find(run_id, generation, fence)
         return self._stream(request, run, offset)
 
     @app.route("/v1/runs/<run_id>", methods=["DELETE"])
     def cancel_run(self, request, run_id):
         """Cancel a run; with ``if_detached``, only if it has no subscribers."""
-        attempt = query_int(request, b"attempt", -1)
-        if query_int(request, b"if_detached", 0) and self._engine.has_subscribers(
+        attempt = read_query_int(request, b"attempt", -1)
+        if read_query_int(request, b"if_detached", 0) and self._engine.has_subscribers(
             run_id
         ):
             return self._answer(request, {"cancelled": False, "attended": True})
@@ -120,7 +122,7 @@
     @app.route("/v1/orders", methods=["POST"])
     def accept_order(self, request):
         """Accept an order of a controller."""
-        order = read_json(request)
+        order = read_json_object(request)
         try:
             self._engine.state.accept_order(order)
         except StaleFenceError:
@@ -130,7 +132,7 @@
     @app.route("/v1/cache-events", methods=["GET"])
     def list_cache_events(self, request):
         """Return the published cache events."""
-        since = query_int(request, b"since", 0)
+        since = read_query_int(request, b"since", 0)
         events, next_sequence = self._engine.feed.list_since(since)
         body = {
             "events": [
@@ -148,7 +150,7 @@
 
     def _answer(self, request: http.Request, body: object) -> bytes:
         self._add_load_headers(request)
-        return answer_json(request, body)
+        return respond_json(request, body)
 
     def _stream(self, request: http.Request, run: Run, offset: int) -> defer.Deferred:
         self._add_load_headers(request)
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/__init__.py
@@ -4,7 +4,7 @@
 
 from ebonyhaven_standins.fault_proxy._faults import FaultKind, LinkFaults
 from ebonyhaven_standins.fault_proxy._forwarding import LinkFactory
-from ebonyhaven_standins.fault_proxy._http import ProxyInterface
+from ebonyhaven_standins.fault_proxy._http import ControlInterface
 from ebonyhaven_standins.fault_proxy._links import Link, LinkTable
 
 __all__ = [
@@ -13,5 +13,5 @@
     "LinkFactory",
     "LinkFaults",
     "LinkTable",
-    "ProxyInterface",
+    "ControlInterface",
 ]
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/__main__.py
@@ -7,7 +7,7 @@
 import typer
 
 from ebonyhaven_standins._serving import serve_app
-from ebonyhaven_standins.fault_proxy import ProxyInterface
+from ebonyhaven_standins.fault_proxy import ControlInterface
 
 
 def main(
@@ -15,7 +15,7 @@
     control: Annotated[str, typer.Option(help="IP:PORT of the control interface.")],
 ) -> None:
     """Run the proxy until it is killed."""
-    serve_app(ProxyInterface().app, control)
+    serve_app(ControlInterface().app, control)
 
 
 if __name__ == "__main__":
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/_http.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/_http.py
@@ -4,12 +4,12 @@
 
 from klein import Klein
 
-from ebonyhaven_standins._serving import answer_json, read_json
+from ebonyhaven_standins._serving import read_json_object, respond_json
 from ebonyhaven_standins.fault_proxy._faults import FaultKind
 from ebonyhaven_standins.fault_proxy._links import Link, LinkTable
 
 
-class ProxyInterface:
+class ControlInterface:
     """Routes that add links and set faults."""
 
     app = Klein()
@@ -21,12 +21,12 @@
     def reject(self, request, failure):
         """Answer a malformed call."""
         body = {"error": "malformed", "reason": failure.getErrorMessage()}
-        return answer_json(request, body, 400)
+        return respond_json(request, body, 400)
 
     @app.route("/links", methods=["POST"])
     def add_link(self, request):
         """Listen for a new link."""
-        body = read_json(request)
+        body = read_json_object(request)
         sides = frozenset((body.get("side_a", ""), body.get("side_b", "")))
         link = Link(
             name=body["name"],
@@ -35,7 +35,7 @@
             sides=sides,
         )
         self._links.add(link)
-        return answer_json(request, {"name": link.name})
+        return respond_json(request, {"name": link.name})
 
     @app.route("/links", methods=["GET"])
     def list_links(self, request):
@@ -44,17 +44,17 @@
             {"name": link.name, "open": link.open_count}
             for link in self._links.list_all()
         ]
-        return answer_json(request, {"links": links})
+        return respond_json(request, {"links": links})
 
     @app.route("/faults", methods=["POST"])
     async def set_fault(self, request):
         """Set a fault on a link or on all links between two sides."""
-        body = read_json(request)
+        body = read_json_object(request)
         target = body["link"] if "link" in body else _read_sides(body)
         links = self._links.select(target)
         for link in links:
             await link.set_fault(FaultKind(body["kind"]), body.get("delay_ms", 0.0))
-        return answer_json(request, {"links": [link.name for link in links]})
+        return respond_json(request, {"links": [link.name for link in links]})
 
 
 def _read_sides(body: dict) -> list[str]:
--- a/packages/standins/src/ebonyhaven_standins/memory_connections.py
+++ b/packages/standins/src/ebonyhaven_standins/memory_connections.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 
-def make_settings(data_centre: str) -> GatewaySettings:
+def make_gateway_settings(data_centre: str) -> GatewaySettings:
     """Return the settings of an instance that lives in memory.
 
     Parameters
@@ -65,7 +65,7 @@
         return self.disconnecting
 
 
-class ServerSide:
+class MemoryServerConnection:
     """The end of one connection at a backend server.
 
     Parameters
--- a/packages/standins/src/ebonyhaven_standins/platform.py
+++ b/packages/standins/src/ebonyhaven_standins/platform.py
@@ -18,9 +18,9 @@
 from twisted.web.iweb import IRequest
 from twisted.web.server import Site
 
-from ebonyhaven_standins._instance_list import LaggingList
-from ebonyhaven_standins._rates import RateLimit
+from ebonyhaven_standins._instance_list import LaggingInstanceList
 from ebonyhaven_standins._table import RowConflict, StoredRow, Table, ValueTooLarge
+from ebonyhaven_standins._token_bucket import TokenBucket
 
 DEFAULT_WRITES_PER_S = 300.0
 DEFAULT_READS_PER_S = 2000.0
@@ -105,14 +105,14 @@
         self._objects: dict[str, bytes] = {}
         self._faults = PlatformFaults()
         self._counts = OperationCounts()
-        self._list = LaggingList(lag_ms=DEFAULT_LIST_LAG_MS)
-        self._writes = RateLimit(
+        self._list = LaggingInstanceList(lag_ms=DEFAULT_LIST_LAG_MS)
+        self._writes = TokenBucket(
             per_s=writes_per_s, burst=max(1.0, writes_per_s * BURST_S), now=now
         )
-        self._reads = RateLimit(
+        self._reads = TokenBucket(
             per_s=reads_per_s, burst=max(1.0, reads_per_s * BURST_S), now=now
         )
-        self._weights = RateLimit(per_s=weights_per_s, burst=1.0, now=now)
+        self._weights = TokenBucket(per_s=weights_per_s, burst=1.0, now=now)
 
     @app.route("/table/transact", methods=["POST"])
     def transact(self, request: IRequest) -> Deferred[bytes]:
@@ -246,7 +246,7 @@
             await Deferred()
         return self._answer(request, {"version": version})
 
-    async def _enter(self, request: IRequest, limit: RateLimit) -> bytes | None:
+    async def _enter(self, request: IRequest, limit: TokenBucket) -> bytes | None:
         if self._faults.delay_ms > 0:
             await task.deferLater(self._clock, self._faults.delay_ms / 1000)
         if self._faults.outage:
--- a/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
@@ -9,7 +9,7 @@
 from ebonyhaven_node.forwarding.interfaces import RunCopier
 from twisted.internet.task import Clock
 
-from ebonyhaven_standins.memory_connections import ServerSide
+from ebonyhaven_standins.memory_connections import MemoryServerConnection
 
 PREFILL_TOKENS_PER_S = 8000.0
 FIRST_EVENT_DELAY_S = 0.1
@@ -27,7 +27,7 @@
     prompt_tokens: int
     total_events: int
     generated_events: int
-    connection: ServerSide
+    connection: MemoryServerConnection
     copy_to: str | None
     last_copy_at: float = 0.0
     timers: list = attrs.field(factory=list)
@@ -58,7 +58,7 @@
         self.runs: dict[str, _Run] = {}
         self._fleet = fleet
         self._prefill_ends_at = 0.0
-        self._connections: list[ServerSide] = []
+        self._connections: list[MemoryServerConnection] = []
 
     def make_entry(self) -> BackendEntry:
         """Return the entry of the engine in the list of backend servers."""
@@ -72,7 +72,7 @@
             state=BackendState.READY,
         )
 
-    def accept(self, connection: ServerSide) -> None:
+    def accept(self, connection: MemoryServerConnection) -> None:
         """Accept a new connection."""
         self._connections.append(connection)
 
@@ -135,7 +135,7 @@
         target.copies[request_id] = run.generated_events
         return True
 
-    def _start_run(self, connection: ServerSide) -> None:
+    def _start_run(self, connection: MemoryServerConnection) -> None:
         head, _ = connection.read_request()
         fields = {name.decode(): value.decode() for name, value in head.headers}
         request_id = fields["id"]
--- a/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
@@ -31,9 +31,9 @@
 from twisted.python.failure import Failure
 
 from ebonyhaven_standins.memory_connections import (
+    MemoryServerConnection,
     MemoryTransport,
-    ServerSide,
-    make_settings,
+    make_gateway_settings,
 )
 from ebonyhaven_standins.resuming._dialect import (
     API_KEY,
@@ -323,11 +323,11 @@
                 factory.clientConnectionFailed(None, Failure(Refused()))
             else:
                 protocol = factory.buildProtocol(None)
-                engine.accept(ServerSide(engine.address, protocol))
+                engine.accept(MemoryServerConnection(engine.address, protocol))
 
     def _build_gateway(self, seed: int) -> Gateway:
         return Gateway(
-            settings=make_settings("dc-0"),
+            settings=make_gateway_settings("dc-0"),
             reactor=self._reactor,
             caller_dialect=SimulatedCallerDialect(),
             backend_dialect=SimulatedBackendDialect(),
--- a/packages/standins/src/ebonyhaven_standins/scenario/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/__init__.py
@@ -6,7 +6,7 @@
     ANALYSIS,
     LOOK_UP,
     Deployment,
-    ServerPlan,
+    ServerSpec,
     start_deployment,
 )
 from ebonyhaven_standins.scenario._runner import (
@@ -28,7 +28,7 @@
     "Progress",
     "Runner",
     "Scenario",
-    "ServerPlan",
+    "ServerSpec",
     "TimedAction",
     "kill_busiest_engine",
     "kill_busiest_instance",
--- a/packages/standins/src/ebonyhaven_standins/scenario/_deployments.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/_deployments.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ServerPlan:
+class ServerSpec:
     """One backend server.
 
     Parameters
@@ -54,13 +54,13 @@
         Region of all data centres.
     instances : mapping of str to str
         Data centre of each instance.
-    engines : sequence of ServerPlan
+    engines : sequence of ServerSpec
         Model engines.
-    services : sequence of ServerPlan
+    services : sequence of ServerSpec
         Plain services.
     workspaces : sequence of str
         Names of the workspaces.
-    behind_proxy : bool
+    uses_fault_proxy : bool
         Whether instances reach engines by links named ``link-NAME`` of the fault
         proxy, and the platform by links named ``platform-NAME``.
     node_settings : mapping
@@ -71,10 +71,10 @@
 
     region: str
     instances: Mapping[str, str]
-    engines: Sequence[ServerPlan]
+    engines: Sequence[ServerSpec]
     workspaces: Sequence[str]
-    services: Sequence[ServerPlan] = ()
-    behind_proxy: bool = False
+    services: Sequence[ServerSpec] = ()
+    uses_fault_proxy: bool = False
     node_settings: Mapping[str, Any] = attrs.Factory(dict)
     seed: int = 1
 
@@ -126,7 +126,7 @@
         Version of the configuration.
     """
     cluster.start_platform(wait=False)
-    if deployment.behind_proxy:
+    if deployment.uses_fault_proxy:
         cluster.start_fault_proxy(wait=False)
     cluster.wait_until_ready()
     version = cluster.declare(deployment.make_declaration())
@@ -146,7 +146,7 @@
     return version
 
 
-def _start_engine(cluster: Cluster, deployment: Deployment, plan: ServerPlan) -> None:
+def _start_engine(cluster: Cluster, deployment: Deployment, plan: ServerSpec) -> None:
     target = cluster.start_engine(
         plan.name,
         *plan.options,
@@ -157,7 +157,7 @@
         wait=False,
     )
     address = target
-    if deployment.behind_proxy:
+    if deployment.uses_fault_proxy:
         address = cluster.add_link(f"link-{plan.name}", target=target)
     cluster.register_server(
         plan.name,
@@ -171,7 +171,7 @@
     cluster: Cluster, deployment: Deployment, name: str, data_centre: str
 ) -> None:
     platform_address = None
-    if deployment.behind_proxy:
+    if deployment.uses_fault_proxy:
         target = cluster.addresses[PLATFORM]
         platform_address = cluster.add_link(f"platform-{name}", target=target)
     cluster.start_node(
--- a/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
@@ -93,7 +93,7 @@
         Names of the instances that callers know.
     scenario : Scenario
         What happens.
-    show : callable
+    on_update : callable
         Receives `Progress` every two seconds and text for each action.
     """
 
@@ -104,13 +104,13 @@
         cluster: Cluster,
         instances: Sequence[str],
         scenario: Scenario,
-        show: Callable[[Progress | str], None] = lambda _: None,
+        on_update: Callable[[Progress | str], None] = lambda _: None,
     ) -> None:
         self._reactor = reactor
         self.cluster = cluster
         self.instances = tuple(instances)
         self._scenario = scenario
-        self._show = show
+        self._show = on_update
         self.timeline = Timeline()
         self._callers: dict[str, Caller] = {}
         self._records: list[RequestRecord] = []
@@ -166,7 +166,7 @@
 
         return self._find_busiest(locate)
 
-    def announce(self, text: str) -> None:
+    def report_action(self, text: str) -> None:
         """Show what an action does."""
         self._show(text)
 
@@ -244,7 +244,7 @@
 def kill_busiest_engine(runner: Runner) -> None:
     """Kill the engine that streams to the most callers."""
     name = runner.find_busiest_engine()
-    runner.announce(f"killing engine {name}")
+    runner.report_action(f"killing engine {name}")
     runner.timeline.add(TimelineKind.ENGINE_KILLED, name)
     runner.cluster.kill(name)
 
@@ -252,7 +252,7 @@
 def kill_busiest_instance(runner: Runner) -> None:
     """Kill the instance that streams to the most callers."""
     name = runner.find_busiest_instance()
-    runner.announce(f"killing instance {name}")
+    runner.report_action(f"killing instance {name}")
     address = runner.cluster.addresses[name]
     runner.timeline.add(TimelineKind.INSTANCE_KILLED, address)
     runner.cluster.kill(name)
@@ -261,7 +261,7 @@
 def terminate_busiest_instance(runner: Runner) -> None:
     """Ask the instance that streams to the most callers to shut down."""
     name = runner.find_busiest_instance()
-    runner.announce(f"shutting down instance {name}")
+    runner.report_action(f"shutting down instance {name}")
     address = runner.cluster.addresses[name]
     runner.timeline.add(TimelineKind.INSTANCE_TERMINATED, address)
     runner.cluster.terminate(name)
--- a/packages/standins/src/ebonyhaven_standins/service/_http.py
+++ b/packages/standins/src/ebonyhaven_standins/service/_http.py
@@ -10,7 +10,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from ebonyhaven_standins._execution_log import ExecutionLog
-from ebonyhaven_standins._serving import MAX_BODY_BYTES, answer_json
+from ebonyhaven_standins._serving import MAX_BODY_BYTES, respond_json
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -55,14 +55,14 @@
     def report_health(self, request):
         """Return the name of the server."""
         self._add_load_headers(request)
-        return answer_json(request, {"server": self._settings.name})
+        return respond_json(request, {"server": self._settings.name})
 
     @app.route("/", branch=True)
     def execute(self, request):
         """Execute a request, record it and respond after the delay."""
         if self.leaving:
             self._add_load_headers(request)
-            return answer_json(request, {"error": "leaving"}, 503)
+            return respond_json(request, {"error": "leaving"}, 503)
         self._executions += 1
         self._running += 1
         execution = self._executions
@@ -89,7 +89,7 @@
         self._running -= 1
         self._log.write("finish", run_id=key, execution=answer["execution"])
         self._add_load_headers(request)
-        return answer_json(request, answer)
+        return respond_json(request, answer)
 
     def _add_load_headers(self, request) -> None:
         request.setHeader("Engine-Running", str(self._running))
--- a/packages/standins/src/ebonyhaven_standins/slopes/_idle_nodes.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_idle_nodes.py
@@ -9,7 +9,7 @@
 import urllib.request
 
 from ebonyhaven_standins.cluster import Cluster
-from ebonyhaven_standins.scenario import Deployment, ServerPlan, start_deployment
+from ebonyhaven_standins.scenario import Deployment, ServerSpec, start_deployment
 from ebonyhaven_standins.slopes._fits import Point
 from ebonyhaven_standins.slopes._process_usage import (
     read_processor_s,
@@ -33,7 +33,7 @@
         region="r1",
         instances={f"n{number}": f"dc-{number % 3}" for number in range(instances)},
         engines=[
-            ServerPlan(name=f"s{number}", data_centre=f"dc-{number}")
+            ServerSpec(name=f"s{number}", data_centre=f"dc-{number}")
             for number in range(2)
         ],
         workspaces=["studio-a"],
--- a/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
@@ -13,7 +13,7 @@
 from ebonyhaven_standins.scenario import (
     ANALYSIS,
     Deployment,
-    ServerPlan,
+    ServerSpec,
     start_deployment,
 )
 from ebonyhaven_standins.slopes._fits import Point
@@ -39,7 +39,7 @@
         region="r1",
         instances={_NODE: "dc-a"},
         engines=[
-            ServerPlan(name=f"s{number}", data_centre="dc-a", options=options)
+            ServerSpec(name=f"s{number}", data_centre="dc-a", options=options)
             for number in range(engines)
         ],
         workspaces=["studio-a"],
--- a/tests/docs/test_commands.py
+++ b/tests/docs/test_commands.py
@@ -12,7 +12,7 @@
 
 from ebonyhaven_decisions import parse_declaration
 from ebonyhaven_standins.cluster import Cluster
-from ebonyhaven_standins.scenario import Deployment, ServerPlan, start_deployment
+from ebonyhaven_standins.scenario import Deployment, ServerSpec, start_deployment
 
 from tools.doc_blocks import ROOT, read_blocks
 
@@ -36,7 +36,7 @@
     return Deployment(
         region="r1",
         instances={"n1": "dc-a", "n2": "dc-b"},
-        engines=[ServerPlan(name="s1", data_centre="dc-a")],
+        engines=[ServerSpec(name="s1", data_centre="dc-a")],
         workspaces=["studio-a"],
     )
 
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -27,9 +27,9 @@
     StateSource,
 )
 from ebonyhaven_standins.memory_connections import (
+    MemoryServerConnection,
     MemoryTransport,
-    ServerSide,
-    make_settings,
+    make_gateway_settings,
 )
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.internet.testing import MemoryReactorClock
@@ -265,7 +265,7 @@
     ----------
     refused, silent : set of str
         Addresses that refuse connections, and addresses that do not respond.
-    connections : list of ServerSide
+    connections : list of MemoryServerConnection
         Connections accepted by servers.
     """
 
@@ -277,9 +277,9 @@
         self.refused: set[str] = set()
         self.silent: set[str] = set()
         self._accepted_count = 0
-        self.connections: list[ServerSide] = []
+        self.connections: list[MemoryServerConnection] = []
         self.gateway = Gateway(
-            settings=make_settings("dc-a"),
+            settings=make_gateway_settings("dc-a"),
             reactor=self.reactor,
             caller_dialect=PlatformCallerDialect(),
             backend_dialect=PlatformBackendDialect(),
@@ -328,9 +328,9 @@
                 )
             else:
                 protocol = factory.buildProtocol(None)
-                self.connections.append(ServerSide(address, protocol))
+                self.connections.append(MemoryServerConnection(address, protocol))
 
-    def take_request(self) -> tuple[ServerSide, h11.Request, bytes]:
+    def take_request(self) -> tuple[MemoryServerConnection, h11.Request, bytes]:
         """Return the only pending request and the connection that received it."""
         waiting = [each for each in self.connections if each.has_request()]
         assert len(waiting) == 1, [each.address for each in waiting]
--- a/tests/integration/test_demo_path.py
+++ b/tests/integration/test_demo_path.py
@@ -7,7 +7,7 @@
 from ebonyhaven_standins.caller import CompletionRequest
 from ebonyhaven_standins.checker import check
 from ebonyhaven_standins.cluster import Cluster
-from ebonyhaven_standins.demo import count_undecidable, decide_exit_code
+from ebonyhaven_standins.demo import count_unavoidable_unknowns, decide_exit_code
 from ebonyhaven_standins.scenario import (
     ANALYSIS,
     LOOK_UP,
@@ -15,7 +15,7 @@
     Deployment,
     Runner,
     Scenario,
-    ServerPlan,
+    ServerSpec,
     TimedAction,
     kill_busiest_engine,
     kill_busiest_instance,
@@ -36,7 +36,7 @@
         region="r1",
         instances={"n1": "dc-a", "n2": "dc-b", "n3": "dc-c"},
         engines=[
-            ServerPlan(name=f"s{number}", data_centre=f"dc-{letter}")
+            ServerSpec(name=f"s{number}", data_centre=f"dc-{letter}")
             for number, letter in enumerate("abc")
         ],
         workspaces=["studio-a", "studio-b"],
@@ -82,26 +82,26 @@
             return await runner.run()
 
         evidence = run_in_reactor(run, deadline_s=DEADLINE_S)
-        return check(evidence), count_undecidable(evidence.records)
+        return check(evidence), count_unavoidable_unknowns(evidence.records)
 
 
-def check_whole(report, undecidable):
+def check_whole(report, unavoidable_unknowns):
     assert report.passed, report.violations
     assert report.requests == len(make_arrivals())
-    assert report.completed + undecidable == report.requests
+    assert report.completed + unavoidable_unknowns == report.requests
     assert report.unresumed == 0
-    assert decide_exit_code(report, undecidable=undecidable) == 0
+    assert decide_exit_code(report, unavoidable_unknowns=unavoidable_unknowns) == 0
 
 
 def test_answers_are_whole_when_an_engine_is_killed():
-    report, undecidable = run_scenario(TimedAction(2.5, kill_busiest_engine))
-    check_whole(report, undecidable)
+    report, unavoidable_unknowns = run_scenario(TimedAction(2.5, kill_busiest_engine))
+    check_whole(report, unavoidable_unknowns)
     assert report.resume_latency.count > 0
     assert report.resume_latency.p50 < RESUME_TARGET_S
 
 
 def test_answers_are_whole_when_an_instance_is_killed():
-    report, undecidable = run_scenario(TimedAction(2.5, kill_busiest_instance))
-    check_whole(report, undecidable)
+    report, unavoidable_unknowns = run_scenario(TimedAction(2.5, kill_busiest_instance))
+    check_whole(report, unavoidable_unknowns)
     assert report.resume_latency.count > 0
     assert report.resume_latency.p50 < RESUME_TARGET_S
--- a/tests/integration/test_listing.py
+++ b/tests/integration/test_listing.py
@@ -6,7 +6,7 @@
 import urllib.request
 
 from ebonyhaven_standins.cluster import DEFAULT_MODEL, Cluster
-from ebonyhaven_standins.scenario import Deployment, ServerPlan, start_deployment
+from ebonyhaven_standins.scenario import Deployment, ServerSpec, start_deployment
 
 DEADLINE_S = 40.0
 
@@ -36,7 +36,7 @@
     deployment = Deployment(
         region="r1",
         instances={"n1": "dc-a", "n2": "dc-a"},
-        engines=[ServerPlan(name="s0", data_centre="dc-a")],
+        engines=[ServerSpec(name="s0", data_centre="dc-a")],
         workspaces=["studio-a"],
     )
     with Cluster() as cluster:
--- a/tests/integration/test_membership.py
+++ b/tests/integration/test_membership.py
@@ -2,7 +2,7 @@
 
 import time
 
-from ebonyhaven_standins.control_nodes import ControlNodes
+from ebonyhaven_standins.control_node_processes import ControlNodeProcesses
 
 DEADLINE_S = 40.0
 OUT_OF_LISTS_S = 3.0
@@ -17,9 +17,9 @@
     return time.monotonic() - started
 
 
-def start_settled(count: int = COUNT) -> ControlNodes:
-    nodes = ControlNodes(count)
-    wait_until(nodes.agree)
+def start_settled(count: int = COUNT) -> ControlNodeProcesses:
+    nodes = ControlNodeProcesses(count)
+    wait_until(nodes.has_converged)
     return nodes
 
 
@@ -29,9 +29,9 @@
         nodes.child("n1").kill()
         took_s = wait_until(lambda: all("n1" not in nodes.list_live(n) for n in others))
         assert took_s <= OUT_OF_LISTS_S, took_s
-        assert all("n1" not in nodes.list_offered(name) for name in others)
+        assert all("n1" not in nodes.list_entry_instances(name) for name in others)
         nodes.start("n1", wait=True)
-        wait_until(nodes.agree)
+        wait_until(nodes.has_converged)
 
 
 def test_paused_instance_is_offered_again_after_it_goes_on():
@@ -48,11 +48,13 @@
     with start_settled(3) as nodes:
         nodes.call("n1", "/leave", method="POST")
         wait_until(lambda: all("n1" not in nodes.list_live(n) for n in nodes.names))
-        assert all("n1" not in nodes.list_offered(name) for name in ("n0", "n2"))
+        assert all(
+            "n1" not in nodes.list_entry_instances(name) for name in ("n0", "n2")
+        )
 
 
 def test_survivor_of_two_offers_only_itself():
     with start_settled(2) as nodes:
         nodes.child("n1").kill()
-        took_s = wait_until(lambda: nodes.list_offered("n0") == {"n0"})
+        took_s = wait_until(lambda: nodes.list_entry_instances("n0") == {"n0"})
         assert took_s <= OUT_OF_LISTS_S, took_s
--- a/tests/integration/test_scheduling.py
+++ b/tests/integration/test_scheduling.py
@@ -5,7 +5,7 @@
 import time
 
 from ebonyhaven_standins.cluster import Cluster
-from ebonyhaven_standins.scenario import Deployment, ServerPlan, start_deployment
+from ebonyhaven_standins.scenario import Deployment, ServerSpec, start_deployment
 
 DEADLINE_S = 30.0
 CANCEL_TARGET_S = 1.0
@@ -18,7 +18,7 @@
     deployment = Deployment(
         region="r1",
         instances={"n1": "dc-a"},
-        engines=[ServerPlan(name="s1", data_centre="dc-a", options=engine_options)],
+        engines=[ServerSpec(name="s1", data_centre="dc-a", options=engine_options)],
         workspaces=("studio-a", "studio-b"),
     )
     version = start_deployment(cluster, deployment)
--- a/tests/standins/test_cluster.py
+++ b/tests/standins/test_cluster.py
@@ -10,7 +10,7 @@
     ChildProcess,
     ProcessError,
     allocate_address,
-    derive_block,
+    derive_loopback_prefix,
 )
 
 
@@ -23,7 +23,7 @@
 
 
 def test_blocks_of_neighbouring_processes_differ():
-    blocks = {derive_block(number) for number in range(1000, 60_000)}
+    blocks = {derive_loopback_prefix(number) for number in range(1000, 60_000)}
     assert len(blocks) == 59_000
 
 
--- a/tests/standins/test_demo.py
+++ b/tests/standins/test_demo.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from ebonyhaven_standins.demo import count_undecidable
+from ebonyhaven_standins.demo import count_unavoidable_unknowns
 
 
 def make_record(**changes):
@@ -9,8 +9,8 @@
 
 
 def test_only_a_request_that_may_not_be_repeated_and_had_no_token_is_undecidable():
-    assert count_undecidable([make_record()]) == 1
-    assert count_undecidable([make_record(repeatable=True)]) == 0
-    assert count_undecidable([make_record(tokens=["a"])]) == 0
-    assert count_undecidable([make_record(outcome="failed")]) == 0
-    assert count_undecidable([make_record(outcome="completed")]) == 0
+    assert count_unavoidable_unknowns([make_record()]) == 1
+    assert count_unavoidable_unknowns([make_record(repeatable=True)]) == 0
+    assert count_unavoidable_unknowns([make_record(tokens=["a"])]) == 0
+    assert count_unavoidable_unknowns([make_record(outcome="failed")]) == 0
+    assert count_unavoidable_unknowns([make_record(outcome="completed")]) == 0
--- a/tests/standins/test_fault_proxy.py
+++ b/tests/standins/test_fault_proxy.py
@@ -10,7 +10,7 @@
 import sys
 import tempfile
 
-from ebonyhaven_standins.cluster import derive_block
+from ebonyhaven_standins.cluster import derive_loopback_prefix
 
 DEADLINE_S = 30.0
 SHORT_WAIT_S = 0.3
@@ -20,7 +20,7 @@
 
 
 def find_host():
-    return f"{derive_block(os.getpid())}.{HOST_NUMBER}"
+    return f"{derive_loopback_prefix(os.getpid())}.{HOST_NUMBER}"
 
 
 def launch(module, *options):
--- a/tests/store_client/platform_process.py
+++ b/tests/store_client/platform_process.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ebonyhaven_standins.cluster import Cluster, PlatformCaller
+from ebonyhaven_standins.cluster import Cluster, PlatformClient
 
 
 @contextlib.contextmanager
@@ -18,4 +18,4 @@
 
 def set_faults(address: str, **faults: Any) -> None:
     """Set faults that the stand-in injects."""
-    PlatformCaller(address).set_faults(**faults)
+    PlatformClient(address).set_faults(**faults)
--- a/tests/store_client/test_clients.py
+++ b/tests/store_client/test_clients.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Awaitable
 
-from ebonyhaven_standins.cluster import PlatformCaller
+from ebonyhaven_standins.cluster import PlatformClient
 from ebonyhaven_store import (
     Condition,
     Conflict,
@@ -272,7 +272,7 @@
         async with open_transport(address) as transport:
             client = InstanceListClient(transport)
             set_faults(address, list_lag_ms=600_000)
-            PlatformCaller(address).register("n1", entry)
+            PlatformClient(address).register("n1", entry)
             assert (await client.read()).processes == ()
             set_faults(address, list_lag_ms=0)
             listed = await client.read()
