--- a/packages/standins/src/ebonyhaven_standins/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins for what surrounds the node, for tests and measurements."""
+"""Simulated surroundings of the node for tests, demos and benchmarks.
+
+The stand-ins replace the platform, the backend servers and the callers.
+"""
--- a/packages/standins/src/ebonyhaven_standins/_execution_log.py
+++ b/packages/standins/src/ebonyhaven_standins/_execution_log.py
@@ -1,4 +1,4 @@
-"""Execution log of a stand-in, flushed line by line."""
+"""Line-buffered execution log of a stand-in backend server."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 
 
 class ExecutionLog:
-    """Appends one JSON object a line; lines survive a kill of the process.
+    """Appends events to a file as JSON lines.
+
+    The file is line-buffered, so written events survive a kill of the process.
 
     Parameters
     ----------
     path : str
         File to append to.
     server : str
-        Name of the backend server, written into every line.
+        Name of the backend server, included in every line.
     """
 
     __slots__ = ("_file", "_server")
@@ -30,9 +32,9 @@
         Parameters
         ----------
         event : str
-            Kind of event, such as ``start`` or ``finish``.
+            Event name, such as ``start`` or ``finish``.
         **fields : object
-            Further JSON members.
+            Additional JSON members of the line.
         """
         record = {"time": time.time(), "server": self._server, "event": event}
         record.update(fields)
--- a/packages/standins/src/ebonyhaven_standins/_instance_list.py
+++ b/packages/standins/src/ebonyhaven_standins/_instance_list.py
@@ -1,4 +1,4 @@
-"""List of live and leaving instances that lags behind its registrations."""
+"""Eventually consistent list of registered instances and backend servers."""
 
 from __future__ import annotations
 
@@ -7,42 +7,52 @@
 
 
 class LaggingInstanceList:
-    """Shows registrations only after a lag.
+    """Instance list whose reads lag behind its writes.
 
     Parameters
     ----------
     lag_ms : float
-        Age in milliseconds of what a reader sees.
+        Delay in milliseconds until a change becomes visible to readers.
     """
 
-    __slots__ = ("_pending", "_shown", "lag_ms")
+    __slots__ = ("_pending", "_visible", "lag_ms")
 
     def __init__(self, *, lag_ms: float):
         self.lag_ms = lag_ms
         self._pending: deque[tuple[float, str, dict[str, Any] | None]] = deque()
-        self._shown: dict[str, dict[str, Any]] = {}
+        self._visible: dict[str, dict[str, Any]] = {}
 
     def put(self, now: float, name: str, entry: dict[str, Any] | None) -> None:
-        """Register or change an entry; None removes it.
+        """Register, change or remove an entry.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
         name : str
             Name of the instance or backend server.
         entry : dict or None
-            The entry as it is to be listed.
+            Entry to list; None removes the one under this name.
         """
         self._pending.append((now, name, entry))
 
     def read(self, now: float) -> list[dict[str, Any]]:
-        """Return the entries as they were one lag ago, by name."""
-        horizon = now - self.lag_ms / 1000
-        while self._pending and self._pending[0][0] <= horizon:
+        """Return the entries visible at ``now``, sorted by name.
+
+        Parameters
+        ----------
+        now : float
+            Current time in seconds.
+
+        Returns
+        -------
+        list of dict
+        """
+        visible_until = now - self.lag_ms / 1000
+        while self._pending and self._pending[0][0] <= visible_until:
             _, name, entry = self._pending.popleft()
             if entry is None:
-                self._shown.pop(name, None)
+                self._visible.pop(name, None)
             else:
-                self._shown[name] = {**entry, "name": name}
-        return [self._shown[name] for name in sorted(self._shown)]
+                self._visible[name] = {**entry, "name": name}
+        return [self._visible[name] for name in sorted(self._visible)]
--- a/packages/standins/src/ebonyhaven_standins/_serving.py
+++ b/packages/standins/src/ebonyhaven_standins/_serving.py
@@ -1,4 +1,4 @@
-"""Shared plumbing of the stand-ins that serve HTTP."""
+"""Helpers shared by the stand-ins that serve HTTP."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     noisy = False
 
     def log(self, request: http.Request) -> None:
-        """Write nothing.
+        """Discard the access log entry.
 
         Parameters
         ----------
@@ -26,19 +26,20 @@
 
 
 def respond_json(request: http.Request, body: object, status: int = http.OK) -> bytes:
-    """Set status and content type and return the encoded body.
+    """Set the status and content type of a response and return its body.
 
     Parameters
     ----------
     request : twisted.web.http.Request
     body : object
-        JSON value.
+        Value to encode as JSON.
     status : int
         HTTP status code.
 
     Returns
     -------
     bytes
+        Encoded body.
     """
     request.setResponseCode(status)
     request.setHeader("Content-Type", "application/json")
@@ -68,7 +69,7 @@
 
 
 def read_query_int(request: http.Request, name: bytes, default: int) -> int:
-    """Return an integer of the query string.
+    """Return an integer parameter of the query string.
 
     Parameters
     ----------
@@ -76,7 +77,7 @@
     name : bytes
         Name of the parameter.
     default : int
-        Value where the parameter is absent.
+        Value if the parameter is absent.
 
     Returns
     -------
@@ -92,7 +93,9 @@
 
 
 def serve_app(app: Klein, address: str) -> None:
-    """Listen on an address, print ``ready`` and run the reactor.
+    """Serve an application until the reactor stops.
+
+    Prints the line ``ready`` once the port is open, or the error and stops.
 
     Parameters
     ----------
@@ -103,11 +106,11 @@
     host, _, port = address.rpartition(":")
     endpoint = endpoints.TCP4ServerEndpoint(reactor, int(port), interface=host)
     listening = endpoint.listen(SiteWithoutAccessLog(app.resource()))
-    listening.addCallbacks(_announce_ready, _stop_with_error)
+    listening.addCallbacks(_print_ready, _stop_with_error)
     reactor.run()
 
 
-def _announce_ready(_port: object) -> None:
+def _print_ready(_port: object) -> None:
     print("ready", flush=True)
 
 
--- a/packages/standins/src/ebonyhaven_standins/_table.py
+++ b/packages/standins/src/ebonyhaven_standins/_table.py
@@ -1,4 +1,4 @@
-"""Rows of the platform stand-in: one transactional table in memory."""
+"""In-memory transactional table of the stand-in platform."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StoredRow(NamedTuple):
-    """Latest state of a row; a deleted row keeps its version and has no value."""
+    """Latest state of a row; a deleted row keeps its version and has value None."""
 
     key: str
     value: Any
@@ -23,7 +23,7 @@
     Parameters
     ----------
     rows : list of StoredRow
-        Present state of the rows whose conditions failed.
+        Current state of the rows whose conditions failed.
     """
 
     def __init__(self, rows: list[StoredRow]):
@@ -32,26 +32,29 @@
 
 
 class ValueTooLarge(Exception):
-    """Raised when a value is longer than ``MAX_VALUE_BYTES`` as JSON."""
+    """Raised when the JSON encoding of a value exceeds ``MAX_VALUE_BYTES``."""
 
 
 class Table:
-    """Rows under one version counter, written by conditional transactions."""
+    """Versioned rows that are written by conditional transactions.
 
-    __slots__ = ("_log", "_rows", "version")
+    All rows share one version counter, which every writing transaction increments.
+    """
+
+    __slots__ = ("_change_log", "_rows", "version")
 
     def __init__(self) -> None:
         self.version = 0
         self._rows: dict[str, StoredRow] = {}
-        self._log: list[tuple[int, str]] = []
+        self._change_log: list[tuple[int, str]] = []
 
     def transact(self, conditions: dict[str, int], writes: dict[str, Any]) -> int:
-        """Apply all writes if every condition holds.
+        """Apply all writes atomically if every condition holds.
 
         Parameters
         ----------
         conditions : dict of str to int
-            Expected version of each row; 0 means that it must be absent.
+            Expected version of each row; 0 if the row must be absent.
         writes : dict of str to object
             New JSON value of each row; None deletes it.
 
@@ -63,14 +66,14 @@
         Raises
         ------
         RowConflict
-            If a condition does not hold; nothing was written.
+            If a condition does not hold; nothing is written.
         ValueTooLarge
-            If a value is too long; nothing was written.
+            If a value is too large; nothing is written.
         """
         conflicts = [
-            self._describe(key)
+            self._get_row(key)
             for key, version in conditions.items()
-            if self._describe(key).version != version
+            if self._get_row(key).version != version
         ]
         if conflicts:
             raise RowConflict(conflicts)
@@ -83,20 +86,34 @@
 
     def read_rows(self, keys: list[str]) -> list[StoredRow]:
         """Return the rows among ``keys`` that exist."""
-        rows = [self._describe(key) for key in keys]
+        rows = [self._get_row(key) for key in keys]
         return [row for row in rows if row.value is not None]
 
     def read_range(self, prefix: str) -> list[StoredRow]:
-        """Return all rows whose key starts with ``prefix``, by key."""
+        """Return the rows whose key starts with ``prefix``, sorted by key."""
         keys = sorted(key for key in self._rows if key.startswith(prefix))
         return self.read_rows(keys)
 
     def read_changes(self, since: int, prefix: str) -> list[StoredRow]:
-        """Return the latest state of each row changed after ``since``."""
-        start = bisect.bisect_right(self._log, since, key=lambda entry: entry[0])
+        """Return the latest state of each row changed after a version.
+
+        Deleted rows are included. Rows are in the order of their last change.
+
+        Parameters
+        ----------
+        since : int
+            Version of the table after which changes are returned.
+        prefix : str
+            Prefix of the keys to return.
+
+        Returns
+        -------
+        list of StoredRow
+        """
+        start = bisect.bisect_right(self._change_log, since, key=lambda entry: entry[0])
         return [
             self._rows[key]
-            for version, key in self._log[start:]
+            for version, key in self._change_log[start:]
             if key.startswith(prefix) and self._rows[key].version == version
         ]
 
@@ -104,9 +121,9 @@
         self.version += 1
         for key, value in writes.items():
             self._rows[key] = StoredRow(key, value, self.version)
-            self._log.append((self.version, key))
+            self._change_log.append((self.version, key))
 
-    def _describe(self, key: str) -> StoredRow:
+    def _get_row(self, key: str) -> StoredRow:
         row = self._rows.get(key)
         if row is None or row.value is None:
             return StoredRow(key, None, 0)
--- a/packages/standins/src/ebonyhaven_standins/_token_bucket.py
+++ b/packages/standins/src/ebonyhaven_standins/_token_bucket.py
@@ -1,46 +1,47 @@
-"""Rate limits that the platform stand-in enforces."""
+"""Token bucket for the rate limits of the stand-in platform."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Token bucket.
+    """Limits the rate of operations and allows short bursts.
 
     Parameters
     ----------
     per_s : float
-        Operations allowed a second, above 0.
+        Sustained rate in operations per second, above 0.
     burst : float
-        Operations that may come at once.
+        Capacity of the bucket in operations.
     now : float
-        Present time in seconds.
+        Current time in seconds.
     """
 
-    __slots__ = ("_available", "_burst", "_per_s", "_updated")
+    __slots__ = ("_burst", "_rate_per_s", "_refilled_at", "_tokens")
 
     def __init__(self, *, per_s: float, burst: float, now: float):
-        self._per_s = per_s
+        self._rate_per_s = per_s
         self._burst = burst
-        self._available = burst
-        self._updated = now
+        self._tokens = burst
+        self._refilled_at = now
 
-    def take(self, now: float) -> float:
-        """Take one operation, or return how many seconds to wait.
+    def try_acquire(self, now: float) -> float:
+        """Consume one token if available, or return the time until one is.
 
         Parameters
         ----------
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         float
-            0.0 if the operation may go on, else the seconds until one may.
+            0.0 if a token was consumed, else the wait in seconds until one is
+            available.
         """
-        elapsed = now - self._updated
-        self._updated = now
-        self._available = min(self._burst, self._available + elapsed * self._per_s)
-        if self._available >= 1.0:
-            self._available -= 1.0
+        elapsed = now - self._refilled_at
+        self._refilled_at = now
+        self._tokens = min(self._burst, self._tokens + elapsed * self._rate_per_s)
+        if self._tokens >= 1.0:
+            self._tokens -= 1.0
             return 0.0
-        return (1.0 - self._available) / self._per_s
+        return (1.0 - self._tokens) / self._rate_per_s
--- a/packages/standins/src/ebonyhaven_standins/cluster/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""Starts and steers the real processes of tests, the demo and the bench."""
+"""Clusters of child processes for tests, the demo and the benchmarks."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/ebonyhaven_standins/cluster/_cluster.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_cluster.py
@@ -1,4 +1,4 @@
-"""A set of real processes on loopback addresses."""
+"""Deployment of nodes, backend servers and the platform on loopback addresses."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def derive_process_seed(name: str, seed: int) -> int:
-    """Return a seed that differs between the processes of one cluster.
+    """Return a seed that is distinct for each process of a cluster.
 
     Parameters
     ----------
@@ -40,12 +40,12 @@
 
 
 def find_binary(name: str) -> str:
-    """Return the path of a binary beside the running interpreter.
+    """Return the path of an executable in the folder of the running interpreter.
 
     Parameters
     ----------
     name : str
-        Name of the binary.
+        Name of the executable.
 
     Returns
     -------
@@ -55,49 +55,47 @@
 
 
 class Cluster(ProcessSet):
-    """Starts, steers and stops the processes of one deployment.
+    """Starts, controls and stops the processes of one deployment.
 
-    All methods block for as long as the process needs, so code that runs on a
-    reactor calls the starting ones before its streams or in a thread; `kill`,
-    `pause`, `resume` and `terminate` return within milliseconds.
+    The methods are blocking. Code that runs on a reactor should start processes
+    before it opens streams, or in a thread. `kill`, `pause`, `resume` and
+    `terminate` return within milliseconds.
 
     Parameters
     ----------
-    keep_folder : pathlib.Path or None
-        Folder for logs that outlives the cluster; a temporary one otherwise.
+    persistent_folder : pathlib.Path or None
+        Folder for logs and settings that is kept on exit; a temporary one if None.
     """
 
-    def __init__(self, *, keep_folder: pathlib.Path | None = None) -> None:
-        super().__init__(keep_folder=keep_folder)
+    def __init__(self, *, persistent_folder: pathlib.Path | None = None) -> None:
+        super().__init__(persistent_folder=persistent_folder)
         self._execution_logs: dict[str, pathlib.Path] = {}
         self.addresses: dict[str, str] = {}
         self.control_addresses: dict[str, str] = {}
 
-    # Starting
-
     def start_platform(self, *options: str, wait: bool = True) -> str:
-        """Start the platform and return its address.
+        """Start the stand-in platform and return its address.
 
         Parameters
         ----------
         *options : str
-            Further command line options, such as ``--writes-per-s``.
+            Additional command line options, such as ``--writes-per-s``.
         wait : bool
             Whether to block until it is ready.
         """
-        address = self._address_of(PLATFORM)
-        command = _module("platform", "--address", address, *options)
+        address = self._reserve_address(PLATFORM)
+        command = _make_module_command("platform", "--address", address, *options)
         return self._launch(PLATFORM, command, wait=wait)
 
     @property
     def platform(self) -> PlatformClient:
-        """Blocking caller of the platform."""
+        """Blocking client of the platform."""
         return PlatformClient(self.addresses[PLATFORM])
 
     def start_fault_proxy(self, *, wait: bool = True) -> str:
         """Start the fault proxy and return its control address."""
-        address = self._address_of(FAULT_PROXY)
-        command = _module("fault_proxy", "--control", address)
+        address = self._reserve_address(FAULT_PROXY)
+        command = _make_module_command("fault_proxy", "--control", address)
         return self._launch(FAULT_PROXY, command, wait=wait)
 
     def start_engine(
@@ -115,38 +113,38 @@
         register: bool = True,
         wait: bool = True,
     ) -> str:
-        """Start a model engine, register it and return its address.
+        """Start a simulated model engine, register it and return its address.
 
         Parameters
         ----------
         name : str
             Name of the backend server.
         *options : str
-            Further command line options of the engine.
+            Additional command line options of the engine.
         model : str
-            Model that it has loaded.
+            Model that the engine has loaded.
         pool : str
-            Pool of the declaration that it belongs to.
+            Pool of the declaration that the engine belongs to.
         data_centre, region : str
-            Where it stands.
+            Location.
         checks_fence : bool
-            Whether it refuses orders with an old fencing number.
+            Whether the engine rejects orders with a stale fencing number.
         time_scale : float
-            Factor on the engine's times; below one is faster.
+            Factor applied to the times of the engine; below 1 is faster.
         seed : int
-            Mixed with the name into the seed of the engine's random source, so
-            that two engines never name two runs alike.
+            Seed of the cluster. The seed of the engine is derived from it and the
+            name, so that run identities differ between engines.
         registered_address : str or None
-            ``IP:PORT`` that the platform's list shows, such as a link of the
-            fault proxy; its own address otherwise.
+            ``IP:PORT`` to register, such as a link of the fault proxy; the address
+            of the engine if None.
         register : bool
-            Whether to enter it into the platform's list.
+            Whether to add the engine to the instance list of the platform.
         wait : bool
             Whether to block until it is ready.
         """
-        address = self._address_of(name)
-        log_path = self._execution_log_of(name)
-        command = _module("engine", "--name", name, "--address", address)
+        address = self._reserve_address(name)
+        log_path = self._reserve_execution_log(name)
+        command = _make_module_command("engine", "--name", name, "--address", address)
         command += ["--model", model, "--log", str(log_path)]
         command += [
             "--time-scale",
@@ -181,11 +179,11 @@
     ) -> str:
         """Start a plain service, register it and return its address.
 
-        Parameters are those of `start_engine`.
+        The parameters are those of `start_engine`.
         """
-        address = self._address_of(name)
-        log_path = self._execution_log_of(name)
-        command = _module("service", "--name", name, "--address", address)
+        address = self._reserve_address(name)
+        log_path = self._reserve_execution_log(name)
+        command = _make_module_command("service", "--name", name, "--address", address)
         command += ["--log", str(log_path), *options]
         self._launch(name, command, wait=wait)
         if register:
@@ -211,29 +209,29 @@
         wait: bool = True,
         **settings: object,
     ) -> str:
-        """Start an instance, register it and return its caller address.
+        """Start an instance of the node, register it and return its caller address.
 
         Parameters
         ----------
         name : str
             Name of the instance.
         data_centre, region : str
-            Where it stands.
+            Location.
         platform_address : str or None
-            Where it finds the platform, such as a link of the fault proxy; the
-            platform's own address otherwise.
+            Address of the platform that the node uses, such as a link of the fault
+            proxy; the address of the platform if None.
         registered_control_address : str or None
-            Control address that the platform's list shows; its own otherwise.
+            Control address to register; the one of the node if None.
         seed : int
-            Seed of the node's random source.
+            Seed of the random number generator of the node.
         register : bool
-            Whether to enter it into the platform's list.
+            Whether to add the instance to the instance list of the platform.
         wait : bool
             Whether to block until it is ready.
         **settings : object
-            Further settings of the node.
+            Additional settings of the node.
         """
-        address = self._address_of(name)
+        address = self._reserve_address(name)
         control = self.control_addresses.setdefault(name, allocate_address())
         content = {
             "instance": name,
@@ -261,8 +259,6 @@
         command = [find_binary("ebonyhaven"), "serve", "--settings", str(path)]
         return self._launch(name, command, wait=wait)
 
-    # The platform's list, the configuration and links
-
     def register_server(
         self,
         name: str,
@@ -273,18 +269,18 @@
         state: str = "live",
         address: str | None = None,
     ) -> None:
-        """Enter a backend server into the platform's list, or change its entry.
+        """Add a backend server to the instance list, or replace its entry.
 
         Parameters
         ----------
         name : str
             Name of the backend server.
         pool, data_centre, region : str
-            Where it belongs.
+            Pool and location.
         state : str
             ``live`` or ``leaving``.
         address : str or None
-            ``IP:PORT`` to show; the process's own otherwise.
+            ``IP:PORT`` to register; the address of the process if None.
         """
         entry = {
             "kind": "backend_server",
@@ -298,12 +294,12 @@
         self.platform.register(name, entry)
 
     def declare(self, declaration: dict[str, Any]) -> int:
-        """Make a declaration the current one and return its version."""
+        """Write a declaration as the current configuration and return its version."""
         return self.platform.write_declaration(declaration)
 
     @property
     def fault_proxy(self) -> FaultProxyClient:
-        """Blocking caller of the fault proxy."""
+        """Blocking client of the fault proxy."""
         return FaultProxyClient(self.addresses[FAULT_PROXY])
 
     def add_link(
@@ -327,13 +323,13 @@
 
     @property
     def execution_logs(self) -> dict[str, pathlib.Path]:
-        """Paths of the execution logs by name of the backend server."""
+        """Paths of the execution logs by backend server name."""
         return dict(self._execution_logs)
 
-    def _address_of(self, name: str) -> str:
+    def _reserve_address(self, name: str) -> str:
         return self.addresses.setdefault(name, allocate_address())
 
-    def _execution_log_of(self, name: str) -> pathlib.Path:
+    def _reserve_execution_log(self, name: str) -> pathlib.Path:
         path = self.folder / f"{name}.execution.jsonl"
         return self._execution_logs.setdefault(name, path)
 
@@ -342,5 +338,5 @@
         return self.addresses[name]
 
 
-def _module(name: str, *options: str) -> list[str]:
+def _make_module_command(name: str, *options: str) -> list[str]:
     return [sys.executable, "-m", f"ebonyhaven_standins.{name}", *options]
--- a/packages/standins/src/ebonyhaven_standins/cluster/_exceptions.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_exceptions.py
@@ -1,19 +1,19 @@
-"""Errors of starting and steering processes."""
+"""Exceptions raised when starting or controlling processes."""
 
 from __future__ import annotations
 
 
 class ProcessError(Exception):
-    """A process did not do what was asked of it.
+    """Raised when an operation on a process fails.
 
     Parameters
     ----------
     step : str
-        What was being done, such as ``start``.
+        Operation that failed, such as ``start``.
     peer : str
         Name of the process.
     reason : str
-        What was seen; the tail of the process's log where there is one.
+        Cause, with the tail of the log of the process if there is one.
     """
 
     def __init__(self, *, step: str, peer: str, reason: str) -> None:
--- a/packages/standins/src/ebonyhaven_standins/cluster/_fault_proxy.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_fault_proxy.py
@@ -1,4 +1,4 @@
-"""Blocking calls to the fault proxy."""
+"""Blocking client of the fault proxy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FaultProxyClient:
-    """Adds links to the fault proxy and sets their faults.
+    """Adds links to a fault proxy and sets their faults.
 
     Parameters
     ----------
@@ -26,16 +26,17 @@
     def add_link(
         self, name: str, *, target: str, side_a: str = "", side_b: str = ""
     ) -> str:
-        """Add a link to the fault proxy and return where it listens.
+        """Add a link to the fault proxy and return the address that it listens on.
 
         Parameters
         ----------
         name : str
             Name of the link.
         target : str
-            ``IP:PORT`` that it forwards to.
+            ``IP:PORT`` to forward connections to.
         side_a, side_b : str
-            Names of the sides of a partition that it crosses.
+            Names of the two sides of the network that the link connects. A
+            fault such as a partition can be set on all links between two sides.
         """
         listen = allocate_address()
         body = {
@@ -49,7 +50,7 @@
         return listen
 
     def count_open(self, link: str) -> int:
-        """Return how many connections are open on a link.
+        """Return the number of open connections of a link.
 
         Parameters
         ----------
@@ -57,8 +58,8 @@
             Name of the link.
         """
         url = f"http://{self._address}/links"
-        with urllib.request.urlopen(url, timeout=CALL_TIMEOUT_S) as answer:
-            links = json.loads(answer.read())["links"]
+        with urllib.request.urlopen(url, timeout=CALL_TIMEOUT_S) as response:
+            links = json.loads(response.read())["links"]
         return sum(item["open"] for item in links if item["name"] == link)
 
     def set_fault(
@@ -78,9 +79,10 @@
         link : str or None
             Name of the link.
         sides : tuple of str or None
-            Names of the two sides, in place of a link.
+            Names of the two sides whose links get the fault; an alternative to
+            ``link``.
         delay_ms : float
-            Delay in milliseconds for ``delay``.
+            Delay in milliseconds if the kind is ``delay``.
         """
         body: dict[str, object] = {"kind": kind, "delay_ms": delay_ms}
         if link is not None:
--- a/packages/standins/src/ebonyhaven_standins/cluster/_platform.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_platform.py
@@ -1,4 +1,4 @@
-"""Blocking calls to the stand-in platform."""
+"""Blocking client of the stand-in platform."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from ebonyhaven_standins.cluster._exceptions import ProcessError
 
 CALL_TIMEOUT_S = 10.0
-RETRY_PAUSE_S = 0.05
-_ATTEMPTS = 20
-CURRENT_ROW = "configuration/current"
+RETRY_DELAY_S = 0.05
+_MAX_WRITE_ATTEMPTS = 20
+CURRENT_CONFIGURATION_KEY = "configuration/current"
 
 
 class PlatformClient:
-    """Calls the platform with the standard library's blocking client.
+    """Calls the HTTP interface of the stand-in platform.
 
     Parameters
     ----------
@@ -33,21 +33,21 @@
         self._address = address
 
     def call(self, method: str, path: str, body: object = None) -> Any:
-        """Make one call and return the decoded answer.
+        """Send a request and return the decoded response.
 
         Parameters
         ----------
         method : str
             HTTP method.
         path : str
-            Path and query.
+            Path and query string.
         body : object
-            JSON value to send, or None.
+            Value to send as JSON; no body if None.
 
         Returns
         -------
         object
-            JSON value, or None for an empty answer.
+            JSON value; None for an empty response.
 
         Raises
         ------
@@ -61,16 +61,16 @@
             f"http://{self._address}{path}", data=data, method=method
         )
         request.add_header("Content-Type", "application/json")
-        with urllib.request.urlopen(request, timeout=CALL_TIMEOUT_S) as answer:
-            content = answer.read()
+        with urllib.request.urlopen(request, timeout=CALL_TIMEOUT_S) as response:
+            content = response.read()
         return json.loads(content) if content else None
 
     def set_faults(self, **faults: object) -> None:
-        """Set faults of the platform, such as ``outage=True``."""
+        """Change faults of the platform, such as ``outage=True``."""
         self.call("POST", "/faults", faults)
 
     def register(self, name: str, entry: dict[str, object]) -> None:
-        """Put an entry into the platform's list of instances.
+        """Add or replace an entry of the instance list.
 
         Parameters
         ----------
@@ -82,11 +82,11 @@
         self.call("PUT", f"/instances/{name}", {"name": name, **entry})
 
     def unregister(self, name: str) -> None:
-        """Remove an entry from the platform's list of instances."""
+        """Remove an entry from the instance list."""
         self.call("DELETE", f"/instances/{name}")
 
     def read_row(self, key: str) -> dict[str, Any] | None:
-        """Return a row with its value and version, or None if absent."""
+        """Return a row with its key, value and version, or None if it is absent."""
         query = urllib.parse.urlencode({"key": key})
         rows = self.call("GET", f"/table/rows?{query}")["rows"]
         return rows[0] if rows else None
@@ -94,14 +94,16 @@
     def write_declaration(
         self, declaration: dict[str, Any], *, author: str = "cluster"
     ) -> int:
-        """Make a declaration the current one.
+        """Write a declaration as the current configuration.
+
+        Retries a conflicting or throttled transaction with a fixed delay.
 
         Parameters
         ----------
         declaration : dict
-            The whole declaration.
+            The complete declaration.
         author : str
-            Name kept with the change.
+            Author recorded with the change.
 
         Returns
         -------
@@ -111,11 +113,11 @@
         Raises
         ------
         ProcessError
-            If other writers won every attempt.
+            If all attempts failed because of conflicts or throttling.
         """
         change_id = uuid.uuid4().hex
-        for _ in range(_ATTEMPTS):
-            row = self.read_row(CURRENT_ROW)
+        for _ in range(_MAX_WRITE_ATTEMPTS):
+            row = self.read_row(CURRENT_CONFIGURATION_KEY)
             if row is not None and row["value"]["change_id"] == change_id:
                 return row["value"]["version"]
             version = 1 + (row["value"]["version"] if row else 0)
@@ -126,21 +128,21 @@
                 "accepted_at": time.time(),
                 "declaration": declaration,
             }
-            if self._swap(content, row["version"] if row else 0):
+            if self._compare_and_set(content, row["version"] if row else 0):
                 return version
-            time.sleep(RETRY_PAUSE_S)
+            time.sleep(RETRY_DELAY_S)
         raise ProcessError(
-            step="declare", peer="platform", reason="lost every race to write"
+            step="declare", peer="platform", reason="all write attempts failed"
         )
 
-    def _swap(self, content: dict[str, Any], row_version: int) -> bool:
-        history_row = f"configuration/history/{content['version']:08d}"
+    def _compare_and_set(self, content: dict[str, Any], row_version: int) -> bool:
+        history_key = f"configuration/history/{content['version']:08d}"
         transaction = {
             "transaction_id": uuid.uuid4().hex,
-            "conditions": [{"key": CURRENT_ROW, "version": row_version}],
+            "conditions": [{"key": CURRENT_CONFIGURATION_KEY, "version": row_version}],
             "writes": [
-                {"key": CURRENT_ROW, "value": content},
-                {"key": history_row, "value": content},
+                {"key": CURRENT_CONFIGURATION_KEY, "value": content},
+                {"key": history_key, "value": content},
             ],
         }
         try:
--- a/packages/standins/src/ebonyhaven_standins/cluster/_process_set.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_process_set.py
@@ -1,4 +1,4 @@
-"""The processes of one cluster, by name."""
+"""Named child processes with a common log folder."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 class ProcessSet:
-    """Owns child processes and their logs, and steers them by name.
+    """Starts and controls child processes by name.
 
-    A context manager: leaving it kills every process and removes the folder;
-    leaving it by an exception first prints the ends of the logs.
+    As a context manager, it kills all processes on exit and removes a temporary
+    folder. If an exception is raised, it first prints the tails of the logs.
 
     Parameters
     ----------
-    keep_folder : pathlib.Path or None
-        Folder for logs that outlives the processes; a temporary one otherwise.
+    persistent_folder : pathlib.Path or None
+        Folder for logs that is kept on exit; a temporary one if None.
     """
 
-    def __init__(self, *, keep_folder: pathlib.Path | None = None) -> None:
+    def __init__(self, *, persistent_folder: pathlib.Path | None = None) -> None:
         self._stack = contextlib.ExitStack()
         self._children: dict[str, ChildProcess] = {}
         self._lock = threading.Lock()
-        if keep_folder is None:
-            keep_folder = pathlib.Path(
+        if persistent_folder is None:
+            persistent_folder = pathlib.Path(
                 self._stack.enter_context(
                     tempfile.TemporaryDirectory(prefix="ebonyhaven-")
                 )
             )
-        self.folder = keep_folder
+        self.folder = persistent_folder
         self.folder.mkdir(parents=True, exist_ok=True)
         self._stack.callback(self._kill_all)
 
@@ -49,7 +49,7 @@
         trace: TracebackType | None,
     ) -> None:
         if error is not None:
-            print(self.describe_failure(), file=sys.stderr)
+            print(self.format_log_tails(), file=sys.stderr)
         self.close()
 
     def close(self) -> None:
@@ -57,12 +57,12 @@
         self._stack.close()
 
     def launch(self, name: str, command: list[str], *, wait: bool) -> None:
-        """Start a process under a name.
+        """Start a named process.
 
         Parameters
         ----------
         name : str
-            Name; an earlier process of that name must have ended.
+            Name; a previous process with that name must have exited.
         command : list of str
             Program and arguments.
         wait : bool
@@ -79,57 +79,57 @@
     def wait_until_ready(
         self, *names: str, deadline_s: float = READY_DEADLINE_S
     ) -> None:
-        """Block until the named processes, or all, are ready.
+        """Block until the given processes are ready.
 
         Parameters
         ----------
         *names : str
-            Processes to wait for.
+            Names of the processes; all if empty.
         deadline_s : float
-            Longest wait for each in seconds.
+            Timeout for each process in seconds.
 
         Raises
         ------
         ProcessError
-            If one ended or was not ready in time.
+            If a process exited or was not ready in time.
         """
         for name in names or tuple(self._children):
             self._children[name].wait_until_ready(deadline_s)
 
     def child(self, name: str) -> ChildProcess:
-        """Return a process by its name."""
+        """Return the process with a name."""
         return self._children[name]
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process with SIGKILL and wait for its exit."""
         self._children[name].kill()
 
     def pause(self, name: str) -> None:
-        """Stop a process until `resume`."""
+        """Suspend a process until `resume`."""
         self._children[name].pause()
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on."""
+        """Resume a suspended process."""
         self._children[name].resume()
 
     def terminate(self, name: str) -> None:
-        """Ask a process to shut down; does not wait for it."""
+        """Send SIGTERM to a process without waiting for its exit."""
         self._children[name].terminate()
 
     def restart(self, name: str, *, wait: bool = True) -> None:
-        """Start a process again with its command, after killing it if it runs."""
+        """Kill a process if it runs and start it again with the same command."""
         old = self._children[name]
         old.kill()
         self.launch(name, old.command, wait=wait)
 
-    def describe_failure(self) -> str:
-        """Return the ends of all logs, for a failing test."""
-        parts = []
+    def format_log_tails(self) -> str:
+        """Return the exit codes and log tails of all processes."""
+        lines = []
         for name, child in self._children.items():
             if child.log_path.exists():
-                parts.append(f"--- {name} (exit {child.exit_code})")
-                parts.append(child.read_tail())
-        return "\n".join(parts)
+                lines.append(f"--- {name} (exit {child.exit_code})")
+                lines.append(child.read_tail())
+        return "\n".join(lines)
 
     def _kill_all(self) -> None:
         for child in self._children.values():
--- a/packages/standins/src/ebonyhaven_standins/cluster/_processes.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_processes.py
@@ -1,4 +1,4 @@
-"""One child process with its log file."""
+"""Child process with a log file."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 READY_LINE = "ready"
 READY_DEADLINE_S = 60.0
 STOP_DEADLINE_S = 30.0
-_POLL_S = 0.01
+_POLL_INTERVAL_S = 0.01
 _TAIL_LINES = 40
 
 
 class ChildProcess:
-    """A child process whose output goes to a file.
+    """Child process whose output is written to a log file.
 
     Parameters
     ----------
     name : str
-        Name used in logs and errors.
+        Name used in error messages.
     command : list of str
-        Program and arguments.
+        Executable and arguments.
     log_path : pathlib.Path
         File that receives standard output and standard error.
     """
@@ -52,17 +52,17 @@
 
     @property
     def process_id(self) -> int:
-        """Identifier of the process."""
+        """Process id."""
         return self._child.pid
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended; a paused process runs."""
+        """Whether the process has not exited; true for a suspended process."""
         return self._child.poll() is None
 
     @property
     def exit_code(self) -> int | None:
-        """Exit code, negative signal number, or None while it runs."""
+        """Exit code, negative signal number, or None if the process is running."""
         return self._child.poll()
 
     def read_tail(self, lines: int = _TAIL_LINES) -> str:
@@ -71,7 +71,7 @@
         Parameters
         ----------
         lines : int
-            Largest number of lines.
+            Maximum number of lines.
 
         Returns
         -------
@@ -91,51 +91,51 @@
         Parameters
         ----------
         deadline_s : float
-            Longest wait in seconds.
+            Timeout in seconds.
 
         Raises
         ------
         ProcessError
-            If the process ended or the wait passed the deadline.
+            If the process exited or was not ready in time.
         """
-        end = time.monotonic() + deadline_s
+        deadline = time.monotonic() + deadline_s
         while not self.is_ready():
             if not self.running:
-                reason = f"ended with {self.exit_code}\n{self.read_tail()}"
+                reason = f"exited with code {self.exit_code}\n{self.read_tail()}"
                 raise ProcessError(step="start", peer=self.name, reason=reason)
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 reason = f"not ready after {deadline_s} s\n{self.read_tail()}"
                 raise ProcessError(step="start", peer=self.name, reason=reason)
-            time.sleep(_POLL_S)
+            time.sleep(_POLL_INTERVAL_S)
 
     def kill(self) -> None:
-        """Kill the process at once and wait for its end."""
+        """Kill the process with SIGKILL and wait for its exit."""
         if self.running:
             self._child.kill()
         self._child.wait(STOP_DEADLINE_S)
 
     def pause(self) -> None:
-        """Stop the process until `resume`."""
+        """Suspend the process with SIGSTOP until `resume`."""
         self._child.send_signal(signal.SIGSTOP)
         self._paused = True
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume the process after `pause`."""
         self._child.send_signal(signal.SIGCONT)
         self._paused = False
 
     def terminate(self) -> None:
-        """Ask the process to shut down; does not wait for it."""
+        """Send SIGTERM to the process without waiting for its exit."""
         if self.running:
             self._child.terminate()
 
     def wait(self, deadline_s: float = STOP_DEADLINE_S) -> int:
-        """Block until the process has ended.
+        """Block until the process has exited.
 
         Parameters
         ----------
         deadline_s : float
-            Longest wait in seconds.
+            Timeout in seconds.
 
         Returns
         -------
@@ -145,10 +145,10 @@
         Raises
         ------
         ProcessError
-            If it still runs at the deadline.
+            If the process has not exited in time.
         """
         try:
             return self._child.wait(deadline_s)
         except subprocess.TimeoutExpired as error:
-            reason = f"still runs after {deadline_s} s\n{self.read_tail()}"
+            reason = f"still running after {deadline_s} s\n{self.read_tail()}"
             raise ProcessError(step="stop", peer=self.name, reason=reason) from error
--- a/packages/standins/src/ebonyhaven_standins/control_node.py
+++ b/packages/standins/src/ebonyhaven_standins/control_node.py
@@ -1,8 +1,8 @@
-"""Process with the control part of a node alone, for tests and measurements.
+"""Process that runs only the membership of a node, for tests and measurements.
 
-``python -m ebonyhaven_standins.control_node --settings FILE``; the file holds
-the keys of `ControlNodeSettings`. It answers ``GET /v1/entries``, ``/members``
-and ``/metrics``; ``POST /leave`` and ``/depart`` announce the end.
+Run as ``python -m ebonyhaven_standins.control_node --settings FILE``. The JSON
+file has the keys of `ControlNodeSettings`. The process serves ``GET /v1/entries``,
+``GET /members``, ``GET /metrics``, ``POST /leave`` and ``POST /depart``.
 """
 
 from __future__ import annotations
@@ -33,24 +33,25 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ControlNodeSettings:
-    """Settings of the process.
+    """Settings of a control node.
 
     Parameters
     ----------
     instance, data_centre, region : str
-        Name and place.
+        Name and location of the instance.
     caller_address, control_address : str
-        ``IP:PORT``.
+        ``IP:PORT`` of the HTTP interface and of the control channels.
     seeds : dict of str to str
-        Control addresses of instances by name, in place of the platform's list.
+        Control addresses of instances by name, in place of the instance list of
+        the platform.
     seed : int
         Seed of the random source.
     loss : float
-        Share of the messages that are dropped.
+        Probability of dropping a message, 0 to 1.
     routes : dict of str to str
-        Address to connect to instead of a control address.
+        Address to connect to by control address that it replaces.
     load : float
-        Load that the instance reports, 0 to 1.
+        Reported load of the instance, 0 to 1.
     """
 
     instance: str
@@ -66,7 +67,7 @@
 
 
 class ControlNode:
-    """The control part of a node and its HTTP answers.
+    """Membership controller of a node with an HTTP interface.
 
     Parameters
     ----------
@@ -107,33 +108,33 @@
 
     @app.route("/v1/entries")
     def get_entries(self, request: IRequest) -> str:
-        """Answer which instances to use."""
+        """Return the instances that callers should use."""
         return json.dumps(self.membership.choose_entries().describe())
 
     @app.route("/members")
     def get_members(self, request: IRequest) -> str:
-        """Answer all records."""
+        """Return the records of all known instances."""
         return json.dumps([record._asdict() for record in self.membership.members])
 
     @app.route("/metrics")
     def get_metrics(self, request: IRequest) -> bytes:
-        """Answer the metrics."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     @app.route("/leave", methods=["POST"])
     def leave(self, request: IRequest) -> str:
-        """Announce that no new callers are taken."""
+        """Announce that the instance accepts no new callers."""
         self.membership.leave()
         return "{}"
 
     @app.route("/depart", methods=["POST"])
     def depart(self, request: IRequest) -> str:
-        """Announce the end and stop the process."""
+        """Announce the departure of the instance and stop the process."""
         self.membership.depart().addCallback(lambda _: reactor.stop())
         return "{}"
 
 
-def _configure_logs() -> None:
+def _configure_logging() -> None:
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt=None),
@@ -145,16 +146,16 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run until the process is told to stop.
+    """Run the control node until the process is stopped.
 
     Parameters
     ----------
     arguments : list of str
-        ``--settings FILE``.
+        Command line arguments without the program name: ``--settings FILE``.
     """
     path = pathlib.Path(arguments[arguments.index(SETTINGS_OPTION) + 1])
     settings = ControlNodeSettings(**json.loads(path.read_text()))
-    _configure_logs()
+    _configure_logging()
     node = ControlNode(settings)
     host, port = settings.caller_address.split(":")
     reactor.listenTCP(int(port), Site(node.app.resource()), interface=host)
--- a/packages/standins/src/ebonyhaven_standins/control_node_processes.py
+++ b/packages/standins/src/ebonyhaven_standins/control_node_processes.py
@@ -1,4 +1,4 @@
-"""Sets of processes that run the control part of a node."""
+"""Control nodes as child processes, see `ebonyhaven_standins.control_node`."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class ControlNodeProcesses(ProcessSet):
-    """Processes that find each other through a list of all of them.
+    """Control nodes that are configured with each other as seeds.
 
     Parameters
     ----------
     count : int
-        How many are started; they are named ``n0``, ``n1`` and so on.
+        Number of control nodes; they are named ``n0``, ``n1`` and so on.
     **settings : object
-        Further `ControlNodeSettings` of each.
+        Additional `ControlNodeSettings` of all control nodes.
     """
 
     def __init__(self, count: int, **settings: object):
@@ -38,7 +38,7 @@
         self.wait_until_ready()
 
     def start(self, name: str, *, wait: bool = False, **settings: object) -> None:
-        """Start one of the named processes, again if it has ended.
+        """Start a control node, or start it again after it has exited.
 
         Parameters
         ----------
@@ -46,7 +46,7 @@
         wait : bool
             Whether to block until it is ready.
         **settings : object
-            Settings that differ from those of the others.
+            Settings that override the common ones.
         """
         content = {
             "instance": name,
@@ -64,7 +64,7 @@
         self.launch(name, command, wait=wait)
 
     def call(self, name: str, path: str, *, method: str = "GET") -> bytes:
-        """Return the body of an HTTP answer of a process.
+        """Send an HTTP request to a control node and return the response body.
 
         Parameters
         ----------
@@ -72,11 +72,11 @@
         """
         url = f"http://{self.caller_addresses[name]}{path}"
         request = urllib.request.Request(url, method=method)
-        with urllib.request.urlopen(request, timeout=CALL_TIMEOUT_S) as answer:
-            return answer.read()
+        with urllib.request.urlopen(request, timeout=CALL_TIMEOUT_S) as response:
+            return response.read()
 
     def list_live(self, name: str) -> set[str]:
-        """Return the names that a process regards as live.
+        """Return the names of the instances that a control node considers live.
 
         Parameters
         ----------
@@ -85,21 +85,24 @@
         members: list[dict[str, Any]] = json.loads(self.call(name, "/members"))
         return {record["name"] for record in members if record["state"] == 0}
 
-    def list_entry_instances(self, name: str, *, answers: int = 12) -> set[str]:
-        """Return whom a process offers in several answers together.
+    def list_entry_instances(self, name: str, *, requests: int = 12) -> set[str]:
+        """Return the instances in several entry lists of a control node.
+
+        Each list is a random selection, so a single one may omit an instance.
 
         Parameters
         ----------
         name : str
-        answers : int
+        requests : int
+            Number of entry lists to request.
         """
-        offered = set()
-        for _ in range(answers):
+        instances = set()
+        for _ in range(requests):
             entries = json.loads(self.call(name, "/v1/entries"))["entries"]
-            offered |= {entry["instance"] for entry in entries}
-        return offered
+            instances |= {entry["instance"] for entry in entries}
+        return instances
 
     def has_converged(self) -> bool:
-        """Return whether each process regards all of them as live."""
-        everybody = set(self.names)
-        return all(self.list_live(name) == everybody for name in self.names)
+        """Return whether each control node considers all of them live."""
+        expected = set(self.names)
+        return all(self.list_live(name) == expected for name in self.names)
--- a/packages/standins/src/ebonyhaven_standins/demo/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/__init__.py
@@ -1,4 +1,4 @@
-"""The demo: two workloads, one engine and one instance killed mid-stream."""
+"""Demo of two workloads during which an engine and an instance are killed."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/ebonyhaven_standins/demo/_run.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_run.py
@@ -1,4 +1,4 @@
-"""Starts the deployment of the demo, runs it and prints what held."""
+"""Runs the demo and prints its results."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 SEED = 7
 UNKNOWN = "unknown"
-ENGINE_KILL_S = 6.0
-INSTANCE_KILL_S = 10.0
+ENGINE_KILL_AT_S = 6.0
+INSTANCE_KILL_AT_S = 10.0
 DATA_CENTRES = ("ba-petrzalka", "ba-ruzinov", "tt-hall")
 
 
 def make_deployment() -> Deployment:
-    """Return four engines and three instances in three data centres."""
+    """Return a deployment of 4 engines and 3 instances in 3 data centres."""
     engines = [
         ServerSpec(name=f"s{number + 1:02d}", data_centre=DATA_CENTRES[number % 3])
         for number in range(4)
@@ -51,8 +51,8 @@
     )
 
 
-def show(item: Progress | str) -> None:
-    """Print progress or what is done to the processes."""
+def print_update(item: Progress | str) -> None:
+    """Print the progress of the demo or the description of an action."""
     if isinstance(item, Progress):
         item = (
             f"{item.at_s:5.1f} s: {item.waiting} waiting, {item.streaming} streaming, "
@@ -61,8 +61,8 @@
     print(item, flush=True)
 
 
-def explain_incomplete(evidence: Evidence) -> None:
-    """Print the requests that did not complete."""
+def print_incomplete(evidence: Evidence) -> None:
+    """Print the requests that did not complete, with their last connection."""
     for record in evidence.records:
         if record["outcome"] != COMPLETED:
             last = record["connections"][-1]
@@ -73,15 +73,15 @@
 
 
 def count_unavoidable_unknowns(records: Iterable[Mapping[str, Any]]) -> int:
-    """Return the requests for which ``unknown`` is the only true answer.
+    """Return the number of requests whose outcome has to be ``unknown``.
 
-    A request that must not be repeated and had no token when its engine was killed
-    may have run there: it is neither started again nor called not run.
+    A request that is not repeatable and has no token may have run on an engine that
+    was killed. It can neither be run again nor get the outcome ``not_run``.
 
     Parameters
     ----------
     records : iterable of mapping
-        What callers saw, one a request.
+        Records of the callers, one per request.
 
     Returns
     -------
@@ -96,13 +96,13 @@
 
 
 def decide_exit_code(report: Report, *, unavoidable_unknowns: int = 0) -> int:
-    """Return 0 if every promise held and every request completed, else 1.
+    """Return 0 if no violation was found and all requests completed, else 1.
 
     Parameters
     ----------
     report : Report
     unavoidable_unknowns : int
-        Requests that could not be completed, see `count_unavoidable_unknowns`.
+        Number of incomplete requests to accept, see `count_unavoidable_unknowns`.
 
     Returns
     -------
@@ -118,7 +118,7 @@
     Raises
     ------
     SystemExit
-        Always; the code is 0 if every promise held and all requests completed.
+        Always; with the exit code of `decide_exit_code`.
     """
     task.react(lambda reactor: defer.Deferred.fromCoroutine(_run(reactor)))
 
@@ -128,8 +128,8 @@
     scenario = Scenario(
         arrivals=make_arrivals(SEED),
         actions=[
-            TimedAction(ENGINE_KILL_S, kill_busiest_engine),
-            TimedAction(INSTANCE_KILL_S, kill_busiest_instance),
+            TimedAction(ENGINE_KILL_AT_S, kill_busiest_engine),
+            TimedAction(INSTANCE_KILL_AT_S, kill_busiest_instance),
         ],
         seed=SEED,
     )
@@ -141,13 +141,13 @@
             cluster=cluster,
             instances=list(deployment.instances),
             scenario=scenario,
-            on_update=show,
+            on_update=print_update,
         )
         evidence = await runner.run()
     report = check(evidence)
     for violation in report.violations:
         print(f"broken: {violation.kind} {violation.subject}: {violation.detail}")
-    explain_incomplete(evidence)
+    print_incomplete(evidence)
     print(json.dumps(report.summarize()), flush=True)
     unavoidable_unknowns = count_unavoidable_unknowns(evidence.records)
     raise SystemExit(
--- a/packages/standins/src/ebonyhaven_standins/demo/_texts.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_texts.py
@@ -44,20 +44,21 @@
 
 
 def generate_analysis_prompt(generator: random.Random, pages: tuple[str, ...]) -> str:
-    """Return a long prompt put together from sample pages.
+    """Return a long prompt that is composed of random sample pages.
 
     Parameters
     ----------
     generator : random.Random
-        Source of the choice; the prompt ends with a file number drawn from it.
+        Source of the pages and of a random file number at the end, which makes the
+        prompt unique.
     pages : tuple of str
-        Sample pages of one workload.
+        Sample pages to choose from.
     """
     chosen = [generator.choice(pages) for _ in range(generator.randint(8, 24))]
     return "\n\n".join([*chosen, f"File {generator.getrandbits(48):012x}."])
 
 
 def generate_look_up_prompt(generator: random.Random) -> str:
-    """Return a short question with a number drawn from the generator."""
+    """Return a short question with a random number."""
     template = generator.choice(LOOK_UPS)
     return template.format(number=generator.getrandbits(40))
--- a/packages/standins/src/ebonyhaven_standins/demo/_workload.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_workload.py
@@ -1,4 +1,4 @@
-"""Requests of the demo: long analyses, quick look-ups, signed decisions."""
+"""Requests of the demo: analyses, decisions and look-ups."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 LARGE_WORKSPACE = "studio-dunaj"
 SMALL_WORKSPACES = ("studio-hron", "studio-vah", "licences")
 ARRIVAL_SPAN_S = 14.0
-ANALYSES = 20
-DECISIONS = 6
+ANALYSIS_COUNT = 20
+DECISION_COUNT = 6
 LOOK_UP_COUNT = 60
-ANALYSIS_TOKENS = (200, 360)
-LOOK_UP_TOKENS = (8, 24)
+ANALYSIS_TOKENS_RANGE = (200, 360)
+LOOK_UP_TOKENS_RANGE = (8, 24)
 
 
 def make_arrivals(seed: int) -> list[Arrival]:
-    """Return the requests of the demo in order of time.
+    """Return the requests of the demo, sorted by time.
 
-    Two in three analyses and look-ups come from the large workspace; decisions
+    The large workspace sends about two thirds of the analyses and look-ups. Decisions
     are not repeatable.
 
     Parameters
     ----------
     seed : int
-        Seed of all choices.
+        Seed of the random number generator.
     """
     generator = random.Random(seed)
-    arrivals = [_make_analysis(generator) for _ in range(ANALYSES)]
-    arrivals += [_make_decision(generator) for _ in range(DECISIONS)]
+    arrivals = [_make_analysis(generator) for _ in range(ANALYSIS_COUNT)]
+    arrivals += [_make_decision(generator) for _ in range(DECISION_COUNT)]
     arrivals += [_make_look_up(generator) for _ in range(LOOK_UP_COUNT)]
     return sorted(arrivals, key=lambda arrival: arrival.at_s)
 
@@ -52,7 +52,7 @@
         workspace=_choose_workspace(generator),
         request_class=ANALYSIS,
         prompt=generate_analysis_prompt(generator, CASTING_NOTES),
-        max_tokens=generator.randint(*ANALYSIS_TOKENS),
+        max_tokens=generator.randint(*ANALYSIS_TOKENS_RANGE),
     )
     return Arrival(generator.uniform(0, ARRIVAL_SPAN_S), request)
 
@@ -62,7 +62,7 @@
         workspace="licences",
         request_class=ANALYSIS,
         prompt=generate_analysis_prompt(generator, DOSSIER_PAGES),
-        max_tokens=generator.randint(*ANALYSIS_TOKENS),
+        max_tokens=generator.randint(*ANALYSIS_TOKENS_RANGE),
         repeatable=False,
     )
     return Arrival(generator.uniform(0, ARRIVAL_SPAN_S), request)
@@ -73,6 +73,6 @@
         workspace=_choose_workspace(generator),
         request_class=LOOK_UP,
         prompt=generate_look_up_prompt(generator),
-        max_tokens=generator.randint(*LOOK_UP_TOKENS),
+        max_tokens=generator.randint(*LOOK_UP_TOKENS_RANGE),
     )
     return Arrival(generator.uniform(0, ARRIVAL_SPAN_S), request)
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/__init__.py
@@ -1,4 +1,4 @@
-"""Fault-injecting TCP proxy on Twisted's port forwarding."""
+"""Fault-injecting TCP proxy based on Twisted's port forwarding."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/__main__.py
@@ -14,7 +14,7 @@
     *,
     control: Annotated[str, typer.Option(help="IP:PORT of the control interface.")],
 ) -> None:
-    """Run the proxy until it is killed."""
+    """Run the fault proxy until it is killed."""
     serve_app(ControlInterface().app, control)
 
 
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/_faults.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a link can have."""
+"""Faults of a link."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """Kind of fault, as named by the control interface."""
+    """Kind of fault, encoded by value on the control interface."""
 
     NONE = "none"
     DELAY = "delay"
@@ -22,14 +22,14 @@
 
 @attrs.define(slots=True)
 class LinkFaults:
-    """Present faults of a link.
+    """Active faults of a link that affect the forwarding of data.
 
     Parameters
     ----------
     delay_s : float
-        Delay of each chunk of bytes in either direction, in seconds.
+        Delay in seconds of each received chunk, in both directions.
     loses_to_target, loses_to_client : bool
-        Directions in which nothing arrives until the fault ends.
+        Whether the direction delivers no data until the fault is cleared.
     """
 
     delay_s: float = 0.0
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/_forwarding.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarded connections that obey the faults of their link."""
+"""Forwarding of connections with the faults of their link."""
 
 from __future__ import annotations
 
@@ -10,93 +10,95 @@
 from ebonyhaven_standins.fault_proxy._faults import LinkFaults
 
 
-class Channel:
-    """One direction of a connection: delays, holds or drops what passes.
+class ForwardingDirection:
+    """One direction of a forwarded connection: delays, queues or drops data.
 
-    Bytes and the end of the connection stay in order. What a lossy direction
-    holds back is delivered when the fault ends, as a retransmission would.
+    Data and the close of the connection are delivered in order. A lossy direction
+    queues them and delivers them when the fault is cleared, as TCP retransmission
+    does after packet loss.
 
     Parameters
     ----------
     is_lossy : callable
-        Whether the direction loses everything at present.
+        Returns whether the direction currently delivers nothing.
     faults : LinkFaults
+        Faults of the link.
     """
 
-    __slots__ = ("_faults", "_held", "_is_lossy", "_timers", "silenced")
+    __slots__ = ("_faults", "_is_lossy", "_pending_timers", "_queued", "drops_all")
 
     def __init__(self, is_lossy: Callable[[], bool], faults: LinkFaults):
         self._is_lossy = is_lossy
         self._faults = faults
-        self._held: list[Callable[[], None]] = []
-        self._timers = 0
-        self.silenced = False
+        self._queued: list[Callable[[], None]] = []
+        self._pending_timers = 0
+        self.drops_all = False
 
     @property
-    def holds(self) -> bool:
-        """Whether the direction is lossy or has not delivered everything."""
-        return not self.silenced and (self._is_lossy() or bool(self._held))
+    def is_blocked(self) -> bool:
+        """Whether the direction is lossy or has undelivered actions."""
+        return not self.drops_all and (self._is_lossy() or bool(self._queued))
 
-    def pass_on(self, action: Callable[[], None]) -> None:
-        """Carry out an action at the far end as the faults allow.
+    def forward(self, action: Callable[[], None]) -> None:
+        """Execute an action at the receiving end, subject to the faults.
 
         Parameters
         ----------
         action : callable
-            Writes bytes or closes the far end.
+            Writes data to the receiving end or closes it.
         """
-        if self.silenced:
+        if self.drops_all:
             return
-        if self.holds:
-            self._held.append(action)
-        elif self._faults.delay_s or self._timers:
-            self._timers += 1
-            reactor.callLater(self._faults.delay_s, self._deliver_late, action)
+        if self.is_blocked:
+            self._queued.append(action)
+        elif self._faults.delay_s or self._pending_timers:
+            self._pending_timers += 1
+            reactor.callLater(self._faults.delay_s, self._deliver_delayed, action)
         else:
             action()
 
-    def release(self) -> None:
-        """Deliver what was held, unless the direction is still lossy."""
-        if self._is_lossy() or self.silenced:
+    def deliver_queued(self) -> None:
+        """Execute the queued actions unless the direction is still lossy."""
+        if self._is_lossy() or self.drops_all:
             return
-        held, self._held = self._held, []
-        for action in held:
+        queued, self._queued = self._queued, []
+        for action in queued:
             action()
 
-    def _deliver_late(self, action: Callable[[], None]) -> None:
-        self._timers -= 1
-        if self.holds:
-            self._held.append(action)
-        elif not self.silenced:
+    def _deliver_delayed(self, action: Callable[[], None]) -> None:
+        self._pending_timers -= 1
+        if self.is_blocked:
+            self._queued.append(action)
+        elif not self.drops_all:
             action()
 
 
-class TargetSide(portforward.ProxyClient):
+class TargetConnection(portforward.ProxyClient):
     """Connection from the proxy to the target."""
 
     noisy = False
 
     def connectionMade(self) -> None:  # noqa: N802 named by Twisted
-        """Join both sides and start to read from the client.
+        """Connect both peers and start reading from the client.
 
-        The transports are not registered as each other's producers: a producer is
-        closed together with its consumer, past the faults of the link.
+        The transports are not registered as producers of each other, because the
+        close of a consumer also closes its producer and bypasses the link faults.
         """
         self.peer.setPeer(self)
         self.peer.transport.resumeProducing()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 named by Twisted
-        """Pass bytes on to the client.
+        """Forward data to the client.
 
         Parameters
         ----------
         data : bytes
         """
         peer = self.peer
-        peer.to_client.pass_on(lambda: peer.transport.write(data))
+        peer.to_client.forward(lambda: peer.transport.write(data))
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802 named by Twisted
-        """Pass the end of the connection on to the client.
+        """Forward the close of the connection to the client.
 
         Parameters
         ----------
@@ -105,17 +107,17 @@
         peer, self.peer = self.peer, None
         if peer is not None:
             peer.peer = None
-            peer.to_client.pass_on(peer.transport.loseConnection)
+            peer.to_client.forward(peer.transport.loseConnection)
 
 
-class TargetSideFactory(portforward.ProxyClientFactory):
-    """Makes the connection to the target."""
+class TargetConnectionFactory(portforward.ProxyClientFactory):
+    """Creates the connection to the target."""
 
     noisy = False
-    protocol = TargetSide
+    protocol = TargetConnection
 
     def clientConnectionFailed(self, connector, reason) -> None:  # noqa: N802
-        """Reset the client when the target cannot be reached.
+        """Reset the client connection if the target is unreachable.
 
         Parameters
         ----------
@@ -125,22 +127,22 @@
         self.server.transport.abortConnection()
 
 
-class ClientSide(portforward.ProxyServer):
-    """Connection from a client to the proxy; it owns both directions."""
+class ClientConnection(portforward.ProxyServer):
+    """Connection from a client to the proxy, with the state of both directions."""
 
     noisy = False
-    clientProtocolFactory = TargetSideFactory
+    clientProtocolFactory = TargetConnectionFactory
 
     def connectionMade(self) -> None:  # noqa: N802 named by Twisted
-        """Register with the link and connect to the target."""
+        """Add the connection to the link and connect to the target."""
         faults = self.factory.faults
-        self.to_target = Channel(lambda: faults.loses_to_target, faults)
-        self.to_client = Channel(lambda: faults.loses_to_client, faults)
-        self.factory.open.add(self)
+        self.to_target = ForwardingDirection(lambda: faults.loses_to_target, faults)
+        self.to_client = ForwardingDirection(lambda: faults.loses_to_client, faults)
+        self.factory.open_connections.add(self)
         super().connectionMade()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 named by Twisted
-        """Pass bytes on to the target.
+        """Forward data to the target.
 
         Parameters
         ----------
@@ -148,41 +150,41 @@
         """
         peer = self.peer
         if peer is not None:
-            self.to_target.pass_on(lambda: peer.transport.write(data))
+            self.to_target.forward(lambda: peer.transport.write(data))
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802 named by Twisted
-        """Pass the end of the connection on to the target.
+        """Forward the close of the connection to the target.
 
         Parameters
         ----------
         reason : twisted.python.failure.Failure
         """
-        self.factory.open.discard(self)
-        if self.to_target.holds:
-            self.factory.draining.add(self)
+        self.factory.open_connections.discard(self)
+        if self.to_target.is_blocked:
+            self.factory.draining_connections.add(self)
         peer = self.peer
         if peer is not None:
-            self.to_target.pass_on(peer.transport.loseConnection)
+            self.to_target.forward(peer.transport.loseConnection)
 
-    def silence(self) -> None:
-        """Drop everything from now on, in both directions and for good."""
-        self.to_target.silenced = True
-        self.to_client.silenced = True
+    def drop_all(self) -> None:
+        """Drop all further data and the close, in both directions, permanently."""
+        self.to_target.drops_all = True
+        self.to_client.drops_all = True
 
     def reset(self) -> None:
-        """Abort both ends."""
+        """Abort the connections to the client and the target."""
         peer, self.peer = self.peer, None
         if peer is not None:
             peer.peer = None
             peer.transport.abortConnection()
         self.transport.abortConnection()
 
-    def release(self) -> None:
-        """Deliver what lossy directions have held."""
-        self.to_target.release()
-        self.to_client.release()
-        if not self.to_target.holds:
-            self.factory.draining.discard(self)
+    def deliver_queued(self) -> None:
+        """Deliver the queued data of directions that are no longer lossy."""
+        self.to_target.deliver_queued()
+        self.to_client.deliver_queued()
+        if not self.to_target.is_blocked:
+            self.factory.draining_connections.discard(self)
 
 
 class LinkFactory(portforward.ProxyFactory):
@@ -198,10 +200,11 @@
     """
 
     noisy = False
-    protocol = ClientSide
+    protocol = ClientConnection
 
     def __init__(self, host: str, port: int, faults: LinkFaults):
         super().__init__(host, port)
         self.faults = faults
-        self.open: set[ClientSide] = set()
-        self.draining: set[ClientSide] = set()
+        self.open_connections: set[ClientConnection] = set()
+        # Closed by the client while data for the target is queued.
+        self.draining_connections: set[ClientConnection] = set()
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/_http.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/_http.py
@@ -10,7 +10,7 @@
 
 
 class ControlInterface:
-    """Routes that add links and set faults."""
+    """HTTP routes that add links and set faults."""
 
     app = Klein()
 
@@ -19,13 +19,13 @@
 
     @app.handle_errors(KeyError, ValueError)
     def reject(self, request, failure):
-        """Answer a malformed call."""
+        """Return status 400 for a malformed request."""
         body = {"error": "malformed", "reason": failure.getErrorMessage()}
         return respond_json(request, body, 400)
 
     @app.route("/links", methods=["POST"])
     def add_link(self, request):
-        """Listen for a new link."""
+        """Add a link and start listening on its address."""
         body = read_json_object(request)
         sides = frozenset((body.get("side_a", ""), body.get("side_b", "")))
         link = Link(
@@ -39,7 +39,7 @@
 
     @app.route("/links", methods=["GET"])
     def list_links(self, request):
-        """Answer the links and their numbers of open connections."""
+        """Return the links with their numbers of open connections."""
         links = [
             {"name": link.name, "open": link.open_count}
             for link in self._links.list_all()
@@ -58,5 +58,5 @@
 
 
 def _read_sides(body: dict) -> list[str]:
-    # Both spellings are accepted: a pair under "sides", or two members.
+    # The sides are given as a pair "sides" or as the members "side_a" and "side_b".
     return body["sides"] if "sides" in body else [body["side_a"], body["side_b"]]
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/_links.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/_links.py
@@ -1,4 +1,4 @@
-"""Named links of the proxy and the faults set on them."""
+"""Named links of the proxy and their faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Link:
-    """One listening address that forwards to a target.
+    """Listening address that forwards connections to a target.
 
     Parameters
     ----------
@@ -19,9 +19,9 @@
     listen : str
         ``IP:PORT`` to listen on.
     target : str
-        ``IP:PORT`` to forward to.
+        ``IP:PORT`` to forward connections to.
     sides : frozenset of str
-        Names of the two sides.
+        Names of the two sides of the network that the link connects.
     """
 
     def __init__(self, *, name: str, listen: str, target: str, sides: frozenset[str]):
@@ -37,37 +37,38 @@
     @property
     def open_count(self) -> int:
         """Number of open connections."""
-        return len(self._factory.open)
+        return len(self._factory.open_connections)
 
     def start_listening(self) -> None:
-        """Accept new connections."""
+        """Accept new connections; does nothing if the link already listens."""
         if self._port is None:
             host, _, port = self._listen.rpartition(":")
             self._port = reactor.listenTCP(int(port), self._factory, interface=host)
 
     def stop_listening(self) -> defer.Deferred:
-        """Refuse new connections.
+        """Refuse new connections and keep the open ones.
 
         Returns
         -------
         twisted.internet.defer.Deferred
+            Fires when the port is closed.
         """
         port, self._port = self._port, None
         return defer.succeed(None) if port is None else port.stopListening()
 
     async def set_fault(self, kind: FaultKind, delay_ms: float) -> None:
-        """Set or clear a fault.
+        """Set a fault, or clear all faults with ``FaultKind.NONE``.
 
         Parameters
         ----------
         kind : FaultKind
         delay_ms : float
-            For ``FaultKind.DELAY``.
+            Delay in milliseconds for ``FaultKind.DELAY``.
         """
         faults = self._faults
         match kind:
             case FaultKind.NONE:
-                self._clear()
+                self._clear_faults()
             case FaultKind.DELAY:
                 faults.delay_s = delay_ms / 1000.0
             case FaultKind.LOSE_TO_TARGET:
@@ -77,33 +78,33 @@
             case FaultKind.PARTITION:
                 faults.loses_to_target = faults.loses_to_client = True
             case FaultKind.RESET:
-                self._each_open(lambda connection: connection.reset())
+                self._apply_to_open(lambda connection: connection.reset())
             case FaultKind.SILENCE_OPEN:
-                self._each_open(lambda connection: connection.silence())
+                self._apply_to_open(lambda connection: connection.drop_all())
             case FaultKind.REFUSE:
                 await self.stop_listening()
 
-    def _clear(self) -> None:
+    def _clear_faults(self) -> None:
         self._faults.delay_s = 0.0
         self._faults.loses_to_target = self._faults.loses_to_client = False
-        self._each_open(lambda connection: connection.release())
-        for connection in list(self._factory.draining):
-            connection.release()
+        self._apply_to_open(lambda connection: connection.deliver_queued())
+        for connection in list(self._factory.draining_connections):
+            connection.deliver_queued()
         self.start_listening()
 
-    def _each_open(self, act) -> None:
-        for connection in list(self._factory.open):
-            act(connection)
+    def _apply_to_open(self, action) -> None:
+        for connection in list(self._factory.open_connections):
+            action(connection)
 
 
 class LinkTable:
-    """All links of one proxy process."""
+    """Links of a proxy process by name."""
 
     def __init__(self) -> None:
         self._links: dict[str, Link] = {}
 
     def add(self, link: Link) -> None:
-        """Add a link under its name.
+        """Add a link; replaces a link with the same name.
 
         Parameters
         ----------
@@ -121,7 +122,7 @@
         return list(self._links.values())
 
     def select(self, target: str | Iterable[str]) -> list[Link]:
-        """Return the link of a name, or all links between two sides.
+        """Return the link with a name, or all links between two sides.
 
         Parameters
         ----------
--- a/packages/standins/src/ebonyhaven_standins/memory_connections.py
+++ b/packages/standins/src/ebonyhaven_standins/memory_connections.py
@@ -1,4 +1,4 @@
-"""Connections in memory, for the node's protocols on a clock of their own."""
+"""In-memory connections for driving the node's protocols on a simulated clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def make_gateway_settings(data_centre: str) -> GatewaySettings:
-    """Return the settings of an instance that lives in memory.
+    """Return gateway settings for an instance with in-memory connections.
 
     Parameters
     ----------
@@ -35,52 +35,52 @@
     )
 
 
-class _Socket:
-    """Takes options and forgets them."""
+class _NullSocket:
+    """Socket that ignores its options."""
 
     def setsockopt(self, *options: object) -> None:
-        """Do nothing."""
+        """Ignore the option."""
 
 
 class MemoryTransport(StringTransport):
-    """Keeps what was written and whether the connection was aborted."""
+    """String transport that records whether the connection was aborted."""
 
     aborted = False
-    socket = _Socket()
+    socket = _NullSocket()
 
-    def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802 the name Twisted calls
-        """Do nothing."""
+    def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802 named by Twisted
+        """Ignore the option."""
 
-    def setTcpKeepAlive(self, enabled: bool) -> None:  # noqa: N802 the same
-        """Do nothing."""
+    def setTcpKeepAlive(self, enabled: bool) -> None:  # noqa: N802 named by Twisted
+        """Ignore the option."""
 
-    def abortConnection(self) -> None:  # noqa: N802 the same
-        """Count as closed."""
+    def abortConnection(self) -> None:  # noqa: N802 named by Twisted
+        """Mark the connection as aborted and closed."""
         self.aborted = True
         self.disconnecting = True
 
     @property
     def is_closed(self) -> bool:
-        """Whether this end closed the connection."""
+        """Whether the protocol closed the connection."""
         return self.disconnecting
 
 
 class MemoryServerConnection:
-    """The end of one connection at a backend server.
+    """Server end of an in-memory connection to a backend server.
 
     Parameters
     ----------
     address : str
-        Of the server.
+        ``IP:PORT`` of the backend server.
     protocol : Protocol
-        The node's end.
+        Protocol at the node's end of the connection.
     """
 
     def __init__(self, address: str, protocol: Protocol):
         self.address = address
         self.protocol = protocol
         self.transport = MemoryTransport()
-        self._read = 0
+        self._read_offset = 0
         protocol.makeConnection(self.transport)
 
     @property
@@ -89,19 +89,24 @@
         return self.transport.is_closed
 
     def has_request(self) -> bool:
-        """Tell whether bytes came that were not read yet."""
-        return len(self.transport.value()) > self._read
+        """Return whether the node has sent bytes that are not read yet."""
+        return len(self.transport.value()) > self._read_offset
 
     def read_request(self) -> tuple[h11.Request, bytes]:
-        """Return the request that arrived, decoded, and its body.
+        """Decode the bytes received since the last call as one request.
+
+        Returns
+        -------
+        tuple of (h11.Request, bytes)
+            Head and body.
 
         Raises
         ------
         ValueError
-            If it is not whole.
+            If the request is incomplete.
         """
-        data = self.transport.value()[self._read :]
-        self._read = len(self.transport.value())
+        data = self.transport.value()[self._read_offset :]
+        self._read_offset = len(self.transport.value())
         codec = h11.Connection(h11.SERVER)
         codec.receive_data(data)
         head, body = codec.next_event(), b""
@@ -110,17 +115,17 @@
             if isinstance(event, h11.EndOfMessage):
                 return head, body
             if not isinstance(event, h11.Data):
-                raise ValueError(f"the request is not whole: {event}")
+                raise ValueError(f"the request is incomplete: {event}")
             body += bytes(event.data)
 
     def receive(self, data: bytes) -> None:
-        """Let raw bytes arrive at the node."""
+        """Deliver raw bytes to the node."""
         self.protocol.dataReceived(data)
 
     def reset(self) -> None:
-        """End the connection as a crash does."""
+        """End the connection without a close, as a crash of the server does."""
         self.protocol.connectionLost(Failure(ConnectionLost()))
 
     def close(self) -> None:
-        """End the connection in an orderly way."""
+        """Close the connection cleanly."""
         self.protocol.connectionLost(Failure(ConnectionDone()))
--- a/packages/standins/src/ebonyhaven_standins/platform.py
+++ b/packages/standins/src/ebonyhaven_standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: table, objects, weights and instance list.
+"""Stand-in platform: table, object store, weight fetches and instance list.
 
 Run as ``python -m ebonyhaven_standins.platform --address IP:PORT``.
 """
@@ -26,25 +26,25 @@
 DEFAULT_READS_PER_S = 2000.0
 DEFAULT_WEIGHTS_PER_S = 1.0
 DEFAULT_LIST_LAG_MS = 500.0
-BURST_S = 0.5
+BURST_WINDOW_S = 0.5
 
 
 @attrs.define(slots=True, kw_only=True)
 class PlatformFaults:
-    """Faults that tests switch on.
+    """Faults that tests inject with ``POST /faults``.
 
     Parameters
     ----------
     outage : bool
-        Table and objects answer 503 and do nothing.
+        Requests for the table and objects fail with status 503.
     delay_ms : float
-        Delay before table and objects act, in milliseconds.
+        Delay of requests for the table and objects, in milliseconds.
     lose_answers : int
         Number of transactions whose connection is aborted after the commit.
     list_lag_ms : float
         Lag of the instance list in milliseconds.
     refuse_list : bool
-        The instance list answers 503.
+        Reads of the instance list fail with status 503.
     """
 
     outage: bool = False
@@ -56,37 +56,48 @@
 
 @attrs.define(slots=True)
 class OperationCounts:
-    """Operations that reached the store since it started."""
+    """Numbers of table and object operations since the process started.
+
+    Parameters
+    ----------
+    reads, writes : int
+        Operations that were not rejected by a fault or a rate limit.
+    throttled : int
+        Operations rejected by a rate limit, fetches of weights included.
+    """
 
     reads: int = 0
     writes: int = 0
     throttled: int = 0
 
 
-def _describe_rows(rows: list[StoredRow]) -> list[dict[str, Any]]:
+def _encode_rows(rows: list[StoredRow]) -> list[dict[str, Any]]:
     return [row._asdict() for row in rows]
 
 
-def _arguments(request: IRequest, name: bytes) -> list[str]:
+def _read_query_values(request: IRequest, name: bytes) -> list[str]:
     return [value.decode() for value in request.args.get(name, [])]
 
 
-def _finish_if_abandoned(operation: Coroutine) -> Deferred:
-    """Run an operation to its end even if the connection is lost meanwhile."""
-    answer: Deferred = Deferred()
-    Deferred.fromCoroutine(operation).chainDeferred(answer)
-    return answer
+def _run_uncancelled(operation: Coroutine) -> Deferred:
+    """Run an operation that continues if Klein cancels the response.
+
+    Klein cancels the returned Deferred when the caller disconnects.
+    """
+    response: Deferred = Deferred()
+    Deferred.fromCoroutine(operation).chainDeferred(response)
+    return response
 
 
 class Platform:
-    """State of the stand-in and its HTTP interface.
+    """State and HTTP interface of the stand-in platform.
 
     Parameters
     ----------
     clock : IReactorTime
         Source of time and delayed calls.
     writes_per_s, reads_per_s, weights_per_s : float
-        Enforced rates.
+        Rate limits of writes, reads and fetches of weights.
     """
 
     app = Klein()
@@ -104,182 +115,185 @@
         self._table = Table()
         self._objects: dict[str, bytes] = {}
         self._faults = PlatformFaults()
-        self._counts = OperationCounts()
-        self._list = LaggingInstanceList(lag_ms=DEFAULT_LIST_LAG_MS)
-        self._writes = TokenBucket(
-            per_s=writes_per_s, burst=max(1.0, writes_per_s * BURST_S), now=now
+        self._operation_counts = OperationCounts()
+        self._instance_list = LaggingInstanceList(lag_ms=DEFAULT_LIST_LAG_MS)
+        self._write_limit = TokenBucket(
+            per_s=writes_per_s, burst=max(1.0, writes_per_s * BURST_WINDOW_S), now=now
         )
-        self._reads = TokenBucket(
-            per_s=reads_per_s, burst=max(1.0, reads_per_s * BURST_S), now=now
+        self._read_limit = TokenBucket(
+            per_s=reads_per_s, burst=max(1.0, reads_per_s * BURST_WINDOW_S), now=now
         )
-        self._weights = TokenBucket(per_s=weights_per_s, burst=1.0, now=now)
+        self._weight_limit = TokenBucket(per_s=weights_per_s, burst=1.0, now=now)
 
     @app.route("/table/transact", methods=["POST"])
     def transact(self, request: IRequest) -> Deferred[bytes]:
-        """Run one transaction."""
+        """Apply a conditional transaction to the table.
+
+        A transaction is applied even if the caller disconnects meanwhile.
+        """
         body = json.load(request.content)
-        return _finish_if_abandoned(self._transact(request, body))
+        return _run_uncancelled(self._transact(request, body))
 
     @app.route("/table/rows", methods=["GET"])
     async def read_rows(self, request: IRequest) -> bytes:
-        """Answer the named rows."""
-        refusal = await self._enter(request, self._reads)
-        if refusal is not None:
-            return refusal
-        self._counts.reads += 1
-        rows = self._table.read_rows(_arguments(request, b"key"))
-        return self._answer_rows(request, "rows", rows)
+        """Return the rows with the requested keys."""
+        rejection = await self._admit(request, self._read_limit)
+        if rejection is not None:
+            return rejection
+        self._operation_counts.reads += 1
+        rows = self._table.read_rows(_read_query_values(request, b"key"))
+        return self._respond_rows(request, "rows", rows)
 
     @app.route("/table/range", methods=["GET"])
     async def read_range(self, request: IRequest) -> bytes:
-        """Answer the rows with a prefix."""
-        refusal = await self._enter(request, self._reads)
-        if refusal is not None:
-            return refusal
-        self._counts.reads += 1
-        rows = self._table.read_range(_arguments(request, b"prefix")[0])
-        return self._answer_rows(request, "rows", rows)
+        """Return the rows whose key starts with a prefix."""
+        rejection = await self._admit(request, self._read_limit)
+        if rejection is not None:
+            return rejection
+        self._operation_counts.reads += 1
+        rows = self._table.read_range(_read_query_values(request, b"prefix")[0])
+        return self._respond_rows(request, "rows", rows)
 
     @app.route("/table/changes", methods=["GET"])
     async def read_changes(self, request: IRequest) -> bytes:
-        """Answer the rows changed after a version."""
-        refusal = await self._enter(request, self._reads)
-        if refusal is not None:
-            return refusal
-        self._counts.reads += 1
-        since = int(_arguments(request, b"since")[0])
-        prefix = (_arguments(request, b"prefix") or [""])[0]
+        """Return the rows changed after a version of the table."""
+        rejection = await self._admit(request, self._read_limit)
+        if rejection is not None:
+            return rejection
+        self._operation_counts.reads += 1
+        since = int(_read_query_values(request, b"since")[0])
+        prefix = (_read_query_values(request, b"prefix") or [""])[0]
         rows = self._table.read_changes(since, prefix)
-        return self._answer_rows(request, "changes", rows)
+        return self._respond_rows(request, "changes", rows)
 
     @app.route("/objects/<path:name>", methods=["GET"])
     async def read_object(self, request: IRequest, name: str) -> bytes:
-        """Answer the bytes of an object."""
-        refusal = await self._enter(request, self._reads)
-        if refusal is not None:
-            return refusal
-        self._counts.reads += 1
+        """Return the content of an object, or 404 if it is absent."""
+        rejection = await self._admit(request, self._read_limit)
+        if rejection is not None:
+            return rejection
+        self._operation_counts.reads += 1
         if name not in self._objects:
-            return self._answer(request, {"error": "absent"}, status=404)
+            return self._respond(request, {"error": "absent"}, status=404)
         return self._objects[name]
 
     @app.route("/objects/<path:name>", methods=["PUT"])
     async def write_object(self, request: IRequest, name: str) -> bytes:
         """Store an object."""
         content = request.content.read()
-        refusal = await self._enter(request, self._writes)
-        if refusal is not None:
-            return refusal
-        self._counts.writes += 1
+        rejection = await self._admit(request, self._write_limit)
+        if rejection is not None:
+            return rejection
+        self._operation_counts.writes += 1
         self._objects[name] = content
-        return self._answer(request, {})
+        return self._respond(request, {})
 
     @app.route("/objects/<path:name>", methods=["DELETE"])
     async def delete_object(self, request: IRequest, name: str) -> bytes:
-        """Delete an object; an absent one is no error."""
-        refusal = await self._enter(request, self._writes)
-        if refusal is not None:
-            return refusal
-        self._counts.writes += 1
+        """Delete an object; deleting an absent one is not an error."""
+        rejection = await self._admit(request, self._write_limit)
+        if rejection is not None:
+            return rejection
+        self._operation_counts.writes += 1
         self._objects.pop(name, None)
-        return self._answer(request, {})
+        return self._respond(request, {})
 
     @app.route("/weights/<path:name>", methods=["GET"])
     def grant_weights(self, request: IRequest, name: str) -> bytes:
-        """Grant or refuse a fetch of weights."""
-        wait_s = self._weights.take(self._clock.seconds())
+        """Grant a fetch of model weights, or reject it with status 429."""
+        wait_s = self._weight_limit.try_acquire(self._clock.seconds())
         if wait_s:
-            return self._refuse_rate(request, wait_s)
-        return self._answer(request, {"granted": True, "name": name})
+            return self._reject_throttled(request, wait_s)
+        return self._respond(request, {"granted": True, "name": name})
 
     @app.route("/instances", methods=["GET"])
     def read_instances(self, request: IRequest) -> bytes:
-        """Answer the lagging list."""
+        """Return the lagging instance list."""
         if self._faults.refuse_list:
-            return self._answer(request, {"error": "unavailable"}, status=503)
-        entries = self._list.read(self._clock.seconds())
-        body = {"instances": entries, "measured_ms_ago": self._list.lag_ms}
-        return self._answer(request, body)
+            return self._respond(request, {"error": "unavailable"}, status=503)
+        entries = self._instance_list.read(self._clock.seconds())
+        body = {"instances": entries, "measured_ms_ago": self._instance_list.lag_ms}
+        return self._respond(request, body)
 
     @app.route("/instances/<name>", methods=["PUT"])
     def put_instance(self, request: IRequest, name: str) -> bytes:
-        """Register or change an entry."""
-        self._list.put(self._clock.seconds(), name, json.load(request.content))
-        return self._answer(request, {})
+        """Register or change an entry of the instance list."""
+        self._instance_list.put(self._clock.seconds(), name, json.load(request.content))
+        return self._respond(request, {})
 
     @app.route("/instances/<name>", methods=["DELETE"])
     def delete_instance(self, request: IRequest, name: str) -> bytes:
-        """Remove an entry."""
-        self._list.put(self._clock.seconds(), name, None)
-        return self._answer(request, {})
+        """Remove an entry from the instance list."""
+        self._instance_list.put(self._clock.seconds(), name, None)
+        return self._respond(request, {})
 
     @app.route("/faults", methods=["POST"])
     def set_faults(self, request: IRequest) -> bytes:
-        """Change the named faults, keep the others."""
+        """Change the faults in the request and leave the others as they are."""
         self._faults = attrs.evolve(self._faults, **json.load(request.content))
-        self._list.lag_ms = self._faults.list_lag_ms
-        return self._answer(request, attrs.asdict(self._faults))
+        self._instance_list.lag_ms = self._faults.list_lag_ms
+        return self._respond(request, attrs.asdict(self._faults))
 
     @app.route("/counts", methods=["GET"])
     def read_counts(self, request: IRequest) -> bytes:
-        """Answer how many operations reached the store."""
-        return self._answer(request, attrs.asdict(self._counts))
+        """Return the numbers of operations."""
+        return self._respond(request, attrs.asdict(self._operation_counts))
 
     async def _transact(self, request: IRequest, body: dict[str, Any]) -> bytes:
-        refusal = await self._enter(request, self._writes)
-        if refusal is not None:
-            return refusal
-        self._counts.writes += 1
+        rejection = await self._admit(request, self._write_limit)
+        if rejection is not None:
+            return rejection
+        self._operation_counts.writes += 1
         conditions = {row["key"]: row["version"] for row in body["conditions"]}
         writes = {row["key"]: row["value"] for row in body["writes"]}
         try:
             version = self._table.transact(conditions, writes)
         except RowConflict as conflict:
-            return self._answer(
-                request, {"conflicts": _describe_rows(conflict.rows)}, status=409
+            return self._respond(
+                request, {"conflicts": _encode_rows(conflict.rows)}, status=409
             )
         except ValueTooLarge as error:
-            return self._answer(request, {"error": f"too large: {error}"}, status=400)
+            return self._respond(request, {"error": f"too large: {error}"}, status=400)
         if self._faults.lose_answers > 0:
             self._faults.lose_answers -= 1
             request.channel.forceAbortClient()
             await Deferred()
-        return self._answer(request, {"version": version})
+        return self._respond(request, {"version": version})
 
-    async def _enter(self, request: IRequest, limit: TokenBucket) -> bytes | None:
+    async def _admit(self, request: IRequest, limit: TokenBucket) -> bytes | None:
         if self._faults.delay_ms > 0:
             await task.deferLater(self._clock, self._faults.delay_ms / 1000)
         if self._faults.outage:
-            return self._answer(request, {"error": "unavailable"}, status=503)
-        wait_s = limit.take(self._clock.seconds())
+            return self._respond(request, {"error": "unavailable"}, status=503)
+        wait_s = limit.try_acquire(self._clock.seconds())
         if wait_s:
-            return self._refuse_rate(request, wait_s)
+            return self._reject_throttled(request, wait_s)
         return None
 
-    def _refuse_rate(self, request: IRequest, wait_s: float) -> bytes:
-        self._counts.throttled += 1
+    def _reject_throttled(self, request: IRequest, wait_s: float) -> bytes:
+        self._operation_counts.throttled += 1
         request.setHeader("Retry-After", f"{wait_s:.3f}")
-        return self._answer(request, {"error": "rate"}, status=429)
+        return self._respond(request, {"error": "rate"}, status=429)
 
-    def _answer_rows(
+    def _respond_rows(
         self, request: IRequest, name: str, rows: list[StoredRow]
     ) -> bytes:
-        body = {name: _describe_rows(rows), "version": self._table.version}
-        return self._answer(request, body)
+        body = {name: _encode_rows(rows), "version": self._table.version}
+        return self._respond(request, body)
 
-    def _answer(self, request: IRequest, body: Any, *, status: int = 200) -> bytes:
+    def _respond(self, request: IRequest, body: Any, *, status: int = 200) -> bytes:
         request.setResponseCode(status)
         request.setHeader("Content-Type", "application/json")
         return json.dumps(body).encode()
 
 
 def main(arguments: list[str]) -> None:
-    """Serve until the process is stopped.
+    """Run the stand-in platform until the process is stopped.
 
     Parameters
     ----------
     arguments : list of str
-        Command line without the program's name.
+        Command line arguments without the program name.
     """
     parser = argparse.ArgumentParser(prog="ebonyhaven_standins.platform")
     parser.add_argument("--address", required=True, help="IP:PORT to listen on")
--- a/packages/standins/src/ebonyhaven_standins/scenario/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/__init__.py
@@ -1,4 +1,4 @@
-"""Deployments, callers and faults that make up one measured run."""
+"""Scenarios: deployments under the load of callers, with injected faults."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/ebonyhaven_standins/scenario/_deployments.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/_deployments.py
@@ -1,4 +1,4 @@
-"""What a scenario starts, and its declaration."""
+"""Processes that a scenario starts, and their declaration."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 @attrs.frozen(kw_only=True)
 class ServerSpec:
-    """One backend server.
+    """Specification of a backend server to start.
 
     Parameters
     ----------
     name : str
         Name of the backend server.
     data_centre : str
-        Where it stands.
+        Location of the backend server.
     options : tuple of str
-        Further command line options.
+        Additional command line options.
     checks_fence : bool
-        Whether it refuses orders with an old fencing number; engines only.
+        Whether it rejects orders with a stale fencing number; engines only.
     time_scale : float
-        Factor on an engine's times.
+        Factor applied to the times of an engine; below 1 is faster.
     """
 
     name: str
@@ -46,14 +46,14 @@
 
 @attrs.frozen(kw_only=True)
 class Deployment:
-    """Processes of a scenario and the declaration they run under.
+    """Processes of a scenario, with the inputs of their declaration.
 
     Parameters
     ----------
     region : str
         Region of all data centres.
     instances : mapping of str to str
-        Data centre of each instance.
+        Data centre of each instance by name.
     engines : sequence of ServerSpec
         Model engines.
     services : sequence of ServerSpec
@@ -61,12 +61,12 @@
     workspaces : sequence of str
         Names of the workspaces.
     uses_fault_proxy : bool
-        Whether instances reach engines by links named ``link-NAME`` of the fault
-        proxy, and the platform by links named ``platform-NAME``.
+        Whether instances connect through links of the fault proxy: to engines
+        through ``link-ENGINE``, to the platform through ``platform-INSTANCE``.
     node_settings : mapping
-        Further settings of all instances.
+        Additional settings of all instances.
     seed : int
-        Seed of all processes.
+        Seed of engines and instances.
     """
 
     region: str
@@ -79,12 +79,12 @@
     seed: int = 1
 
     def make_declaration(self) -> dict[str, Any]:
-        """Return the declaration with one class of each workload."""
+        """Return a declaration with the classes ``LOOK_UP`` and ``ANALYSIS``."""
         pools: dict[str, Any] = {
             ENGINE_POOL: {
                 "kind": "engine",
                 "models": [DEFAULT_MODEL],
-                "checks_fence": all(plan.checks_fence for plan in self.engines),
+                "checks_fence": all(spec.checks_fence for spec in self.engines),
             }
         }
         if self.services:
@@ -111,14 +111,14 @@
 
 
 def start_deployment(cluster: Cluster, deployment: Deployment) -> int:
-    """Start all processes, declare, and wait until everything is ready.
+    """Start all processes, write the declaration and wait until all are ready.
 
     Parameters
     ----------
     cluster : Cluster
-        Where to start them.
+        Cluster that starts the processes.
     deployment : Deployment
-        What to start.
+        Processes to start.
 
     Returns
     -------
@@ -130,13 +130,13 @@
         cluster.start_fault_proxy(wait=False)
     cluster.wait_until_ready()
     version = cluster.declare(deployment.make_declaration())
-    for plan in deployment.engines:
-        _start_engine(cluster, deployment, plan)
-    for plan in deployment.services:
+    for spec in deployment.engines:
+        _start_engine(cluster, deployment, spec)
+    for spec in deployment.services:
         cluster.start_service(
-            plan.name,
-            *plan.options,
-            data_centre=plan.data_centre,
+            spec.name,
+            *spec.options,
+            data_centre=spec.data_centre,
             region=deployment.region,
             wait=False,
         )
@@ -146,22 +146,22 @@
     return version
 
 
-def _start_engine(cluster: Cluster, deployment: Deployment, plan: ServerSpec) -> None:
+def _start_engine(cluster: Cluster, deployment: Deployment, spec: ServerSpec) -> None:
     target = cluster.start_engine(
-        plan.name,
-        *plan.options,
-        checks_fence=plan.checks_fence,
-        time_scale=plan.time_scale,
+        spec.name,
+        *spec.options,
+        checks_fence=spec.checks_fence,
+        time_scale=spec.time_scale,
         seed=deployment.seed,
         register=False,
         wait=False,
     )
     address = target
     if deployment.uses_fault_proxy:
-        address = cluster.add_link(f"link-{plan.name}", target=target)
+        address = cluster.add_link(f"link-{spec.name}", target=target)
     cluster.register_server(
-        plan.name,
-        data_centre=plan.data_centre,
+        spec.name,
+        data_centre=spec.data_centre,
         region=deployment.region,
         address=address,
     )
--- a/packages/standins/src/ebonyhaven_standins/scenario/_health.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/_health.py
@@ -1,4 +1,4 @@
-"""Samples which configuration each instance has in force."""
+"""Periodic samples of the active configuration version of each instance."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from ebonyhaven_standins.checker import Timeline, TimelineKind
 from ebonyhaven_standins.cluster import Cluster
 
-INTERVAL_S = 0.5
-DEADLINE_S = 0.5
+SAMPLE_INTERVAL_S = 0.5
+REQUEST_TIMEOUT_S = 0.5
 
 
 class HealthSampler:
-    """Asks every instance for its health, twice a second.
+    """Polls the health of every running instance.
 
     Parameters
     ----------
@@ -26,9 +26,9 @@
     cluster : Cluster
         Started processes.
     instances : sequence of str
-        Names of the instances to ask.
+        Names of the instances to poll.
     timeline : Timeline
-        Receives the versions seen.
+        Receives the observed configuration versions.
     """
 
     def __init__(
@@ -42,13 +42,15 @@
         self._cluster = cluster
         self._instances = instances
         self._timeline = timeline
-        self._http = treq.client.HTTPClient(Agent(reactor, connectTimeout=DEADLINE_S))
+        self._http = treq.client.HTTPClient(
+            Agent(reactor, connectTimeout=REQUEST_TIMEOUT_S)
+        )
         self._loop = task.LoopingCall(self._sample_all)
         self._loop.clock = reactor
 
     def start(self) -> None:
-        """Begin to sample."""
-        self._loop.start(INTERVAL_S)
+        """Start sampling."""
+        self._loop.start(SAMPLE_INTERVAL_S)
 
     def stop(self) -> None:
         """Stop sampling."""
@@ -58,12 +60,14 @@
         for name in self._instances:
             if self._cluster.child(name).running:
                 sample = defer.Deferred.fromCoroutine(self._sample(name))
-                # An instance that does not answer gives no sample.
+                # An instance that does not respond yields no sample.
                 sample.addErrback(lambda _: None)
 
     async def _sample(self, name: str) -> None:
         address = self._cluster.addresses[name]
-        response = await self._http.get(f"http://{address}/health", timeout=DEADLINE_S)
+        response = await self._http.get(
+            f"http://{address}/health", timeout=REQUEST_TIMEOUT_S
+        )
         health = await response.json()
         self._timeline.add(
             TimelineKind.CONFIGURATION_SEEN,
--- a/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
@@ -1,4 +1,4 @@
-"""Runs callers and faults against started processes."""
+"""Runs the requests and faults of a scenario against a cluster."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 class Arrival(NamedTuple):
-    """A request and the time in seconds at which its caller sends it."""
+    """Request and the time in seconds from the start at which it is sent."""
 
     at_s: float
     request: CompletionRequest
 
 
 class Progress(NamedTuple):
-    """How far a scenario has come."""
+    """Request and token counts at a time in seconds from the start."""
 
     at_s: float
     waiting: int
@@ -49,7 +49,7 @@
 
 
 class TimedAction(NamedTuple):
-    """Something done to the processes at a time in seconds."""
+    """Action on the processes and its time in seconds from the start."""
 
     at_s: float
     act: Callable[[Runner], None]
@@ -57,20 +57,20 @@
 
 @attrs.frozen(kw_only=True)
 class Scenario:
-    """What happens while a deployment runs.
+    """Requests and actions to run against a deployment.
 
     Parameters
     ----------
     arrivals : sequence of Arrival
-        Requests.
+        Requests to send.
     actions : sequence of TimedAction
-        Faults and other actions.
+        Fault injections and other actions.
     limits : CallerLimits
-        How long callers wait.
+        Timeouts of the callers.
     sends_received : bool
-        Whether reconnects carry the texts received so far.
+        Whether callers send the text received so far when they reconnect.
     seed : int
-        Seed of the callers.
+        Seed of the random choices of the callers.
     """
 
     arrivals: Sequence[Arrival]
@@ -81,7 +81,7 @@
 
 
 class Runner:
-    """Drives one scenario.
+    """Runs one scenario and collects its evidence.
 
     Parameters
     ----------
@@ -90,11 +90,12 @@
     cluster : Cluster
         Started processes.
     instances : sequence of str
-        Names of the instances that callers know.
+        Names of the instances whose addresses callers start with.
     scenario : Scenario
-        What happens.
+        Scenario to run.
     on_update : callable
-        Receives `Progress` every two seconds and text for each action.
+        Called with `Progress` every ``PROGRESS_INTERVAL_S`` and with a text for
+        each action.
     """
 
     def __init__(
@@ -110,13 +111,13 @@
         self.cluster = cluster
         self.instances = tuple(instances)
         self._scenario = scenario
-        self._show = on_update
+        self._on_update = on_update
         self.timeline = Timeline()
         self._callers: dict[str, Caller] = {}
         self._records: list[RequestRecord] = []
 
     def run(self) -> defer.Deferred[Evidence]:
-        """Run the scenario to the end of its last request.
+        """Run the scenario until its last request and action have finished.
 
         Returns
         -------
@@ -137,16 +138,18 @@
             )
             stack.callback(sampler.stop)
             sampler.start()
-            ticker = task.LoopingCall(self._report, self._reactor.seconds())
-            ticker.clock = self._reactor
-            stack.callback(ticker.stop)
-            ticker.start(PROGRESS_INTERVAL_S, now=False)
-            await self._follow()
+            progress_loop = task.LoopingCall(
+                self._report_progress, self._reactor.seconds()
+            )
+            progress_loop.clock = self._reactor
+            stack.callback(progress_loop.stop)
+            progress_loop.start(PROGRESS_INTERVAL_S, now=False)
+            await self._run_schedule()
         lines = read_execution_logs(self.cluster.execution_logs.values())
         return Evidence(self._records, lines, self.timeline.events)
 
-    def open_records(self) -> list[RequestRecord]:
-        """Return the records of requests that have no outcome yet."""
+    def list_open_records(self) -> list[RequestRecord]:
+        """Return the records of the requests without an outcome."""
         return [
             record
             for caller in self._callers.values()
@@ -154,28 +157,40 @@
         ]
 
     def find_busiest_engine(self) -> str:
-        """Return the backend server that streams to the most callers."""
+        """Return the engine with the most open streams.
+
+        Raises
+        ------
+        ProcessError
+            If no stream is open.
+        """
         return self._find_busiest(lambda _, token: token.server)
 
     def find_busiest_instance(self) -> str:
-        """Return the instance that streams to the most callers."""
+        """Return the instance with the most open streams.
+
+        Raises
+        ------
+        ProcessError
+            If no stream is open.
+        """
         names = {self.cluster.addresses[name]: name for name in self.instances}
 
-        def locate(record: RequestRecord, _: ReceivedToken) -> str:
+        def get_name(record: RequestRecord, _: ReceivedToken) -> str:
             return names[record["connections"][-1]["address"]]
 
-        return self._find_busiest(locate)
+        return self._find_busiest(get_name)
 
     def report_action(self, text: str) -> None:
-        """Show what an action does."""
-        self._show(text)
+        """Report the description of an action."""
+        self._on_update(text)
 
     def _find_busiest(
-        self, locate: Callable[[RequestRecord, ReceivedToken], str]
+        self, get_name: Callable[[RequestRecord, ReceivedToken], str]
     ) -> str:
         counts = collections.Counter(
-            locate(record, record["tokens"][-1])
-            for record in self.open_records()
+            get_name(record, record["tokens"][-1])
+            for record in self.list_open_records()
             if record["tokens"]
         )
         if not counts:
@@ -186,30 +201,32 @@
         generator = random.Random(self._scenario.seed)
         names = {item.request.workspace for item in self._scenario.arrivals}
         for name in sorted(names):
-            known = [self.cluster.addresses[item] for item in self.instances]
-            generator.shuffle(known)
+            bootstrap_addresses = [
+                self.cluster.addresses[item] for item in self.instances
+            ]
+            generator.shuffle(bootstrap_addresses)
             self._callers[name] = Caller(
                 reactor=self._reactor,
-                bootstrap_addresses=known,
+                bootstrap_addresses=bootstrap_addresses,
                 history=history,
                 generator=random.Random(generator.random()),
                 limits=self._scenario.limits,
                 sends_received=self._scenario.sends_received,
             )
 
-    async def _follow(self) -> None:
-        ends = [
+    async def _run_schedule(self) -> None:
+        deferreds = [
             task.deferLater(self._reactor, arrival.at_s, self.send, arrival.request)
             for arrival in self._scenario.arrivals
         ]
-        ends += [
+        deferreds += [
             task.deferLater(self._reactor, action.at_s, action.act, self)
             for action in self._scenario.actions
         ]
-        await defer.gatherResults(ends, consumeErrors=True)
+        await defer.gatherResults(deferreds, consumeErrors=True)
 
     def send(self, request: CompletionRequest) -> defer.Deferred[RequestRecord]:
-        """Send one request from its workspace's caller and keep its record.
+        """Send a request from the caller of its workspace and store its record.
 
         Parameters
         ----------
@@ -220,17 +237,17 @@
         Deferred of RequestRecord
         """
         completing = self._callers[request.workspace].complete(request)
-        return completing.addCallback(self._keep)
+        return completing.addCallback(self._store_record)
 
-    def _keep(self, record: RequestRecord) -> RequestRecord:
+    def _store_record(self, record: RequestRecord) -> RequestRecord:
         self._records.append(record)
         return record
 
-    def _report(self, started_at: float) -> None:
-        records = self.open_records()
+    def _report_progress(self, started_at: float) -> None:
+        records = self.list_open_records()
         streaming = sum(bool(record["tokens"]) for record in records)
         tokens = sum(len(item["tokens"]) for item in [*records, *self._records])
-        self._show(
+        self._on_update(
             Progress(
                 at_s=self._reactor.seconds() - started_at,
                 waiting=len(records) - streaming,
@@ -242,7 +259,7 @@
 
 
 def kill_busiest_engine(runner: Runner) -> None:
-    """Kill the engine that streams to the most callers."""
+    """Kill the engine with the most open streams."""
     name = runner.find_busiest_engine()
     runner.report_action(f"killing engine {name}")
     runner.timeline.add(TimelineKind.ENGINE_KILLED, name)
@@ -250,7 +267,7 @@
 
 
 def kill_busiest_instance(runner: Runner) -> None:
-    """Kill the instance that streams to the most callers."""
+    """Kill the instance with the most open streams."""
     name = runner.find_busiest_instance()
     runner.report_action(f"killing instance {name}")
     address = runner.cluster.addresses[name]
@@ -259,7 +276,7 @@
 
 
 def terminate_busiest_instance(runner: Runner) -> None:
-    """Ask the instance that streams to the most callers to shut down."""
+    """Send SIGTERM to the instance with the most open streams."""
     name = runner.find_busiest_instance()
     runner.report_action(f"shutting down instance {name}")
     address = runner.cluster.addresses[name]
