--- a/tests/docs/test_capacity.py
+++ b/tests/docs/test_capacity.py
@@ -34,25 +34,25 @@
     ]
 
 
-def test_the_page_has_the_rows_and_units_of_the_tool():
+def test_page_lists_all_quantities_with_units():
     rows = split_rows(read_table("slopes"))
     shown = [(row[0], row[2], row[3]) for row in rows]
     assert shown == [(row.name, row.unit, row.size_unit) for row in QUANTITIES]
 
 
-def test_the_page_has_the_lines_and_units_of_the_tool():
+def test_page_lists_all_capacity_lines_with_units():
     rows = split_rows(read_table("capacity"))
     shown = [(row[0], row[1], row[4]) for row in rows]
     assert shown == [(line.role, line.name, line.unit) for line in CAPACITY_LINES]
 
 
-def test_the_figures_of_the_page_come_from_the_points():
+def test_page_figures_match_measured_points():
     measurements = make_measurements(read_points(POINTS))
     assert read_table("slopes") == render_slopes(measurements)
     assert read_table("capacity") == render_capacity(measurements)
 
 
-def test_lines_that_miss_their_limit_are_marked_and_explained():
+def test_capacity_lines_over_limit_are_marked_and_explained():
     misses = [row for row in split_rows(read_table("capacity")) if "no" in row[7]]
     values = {
         key: item.value for key, item in make_measurements(read_points(POINTS)).items()
--- a/tests/docs/test_commands.py
+++ b/tests/docs/test_commands.py
@@ -16,9 +16,9 @@
 
 from tools.doc_blocks import ROOT, read_blocks
 
-DEADLINE_S = 120.0
+SCRIPT_TIMEOUT_S = 120.0
 LINK = re.compile(r"\]\((?!https?:)([^)#]+)")
-DOCUMENTED_PLATFORM = "10.0.0.5:7000"
+DOCUMENTED_PLATFORM_ADDRESS = "10.0.0.5:7000"
 
 
 LINKED_PAGES = (
@@ -54,7 +54,7 @@
         env=make_environment(**variables),
         capture_output=True,
         text=True,
-        timeout=DEADLINE_S,
+        timeout=SCRIPT_TIMEOUT_S,
         check=False,
     )
 
@@ -72,7 +72,7 @@
     return [int(offset) for offset in re.findall(r"^id: (\d+)-", stream, re.MULTILINE)]
 
 
-def test_commands_of_the_callers_page():
+def test_callers_page_commands():
     entries, completion, reconnect = read_shell_blocks("docs/CALLERS.md")
     with Cluster() as cluster, tempfile.TemporaryDirectory() as folder:
         start_deployment(cluster, make_deployment())
@@ -83,13 +83,15 @@
         stream = check_run(run_script(completion, folder, **variables))
         assert read_offsets(stream) == list(range(9))
         assert stream.rstrip().endswith("data: [DONE]")
-        held = re.findall(r"^id: (2-\S+)", stream, re.MULTILINE)[0]
+        last_event_id = re.findall(r"^id: (2-\S+)", stream, re.MULTILINE)[0]
         variables["ENTRY"] = cluster.addresses["n2"]
-        rest = check_run(run_script(reconnect, folder, LAST_EVENT_ID=held, **variables))
-        assert read_offsets(rest) == list(range(3, 9))
+        resumed_stream = check_run(
+            run_script(reconnect, folder, LAST_EVENT_ID=last_event_id, **variables)
+        )
+        assert read_offsets(resumed_stream) == list(range(3, 9))
 
 
-def test_the_example_client_of_the_callers_page():
+def test_callers_page_example_client():
     (client,) = [b for b in read_blocks("docs/CALLERS.md") if b.language == "python"]
     with Cluster() as cluster, tempfile.TemporaryDirectory() as folder:
         start_deployment(cluster, make_deployment())
@@ -103,7 +105,7 @@
         assert offsets == [str(number) for number in range(8)]
 
 
-def test_declarations_and_commands_of_the_operators_page():
+def test_operators_page_declarations_and_commands():
     blocks = read_blocks("docs/OPERATORS.md")
     files = {block.name: block.text for block in blocks if block.name}
     assert set(files) == {"n1.json", "casting.json", "market.json"}
@@ -115,15 +117,17 @@
         for name, text in files.items():
             (pathlib.Path(folder) / name).write_text(text)
         check_run(run_script(settings, folder))
-        assert DOCUMENTED_PLATFORM in cycle
-        script = cycle.replace(DOCUMENTED_PLATFORM, cluster.addresses["platform"])
+        assert DOCUMENTED_PLATFORM_ADDRESS in cycle
+        script = cycle.replace(
+            DOCUMENTED_PLATFORM_ADDRESS, cluster.addresses["platform"]
+        )
         check_run(run_script(script, folder))
         row = cluster.platform.read_row("configuration/current")
         assert row["value"]["version"] == 2
         assert row["value"]["change_id"] == "ticket-812"
 
 
-def test_make_targets_of_the_pages_exist():
+def test_documented_make_targets_exist():
     makefile = (ROOT / "Makefile").read_text()
     for page in ("README.md", "CONTRIBUTING.md"):
         for block in read_shell_blocks(page):
@@ -131,7 +135,7 @@
                 assert re.search(rf"^{target}:", makefile, re.MULTILINE), target
 
 
-def test_links_between_the_pages_lead_somewhere():
+def test_page_links_resolve_to_files():
     for page in LINKED_PAGES:
         for target in LINK.findall((ROOT / page).read_text()):
             path = (ROOT / page).parent / target
--- a/tests/standins/test_caller.py
+++ b/tests/standins/test_caller.py
@@ -26,7 +26,7 @@
 )
 
 
-def test_events_are_the_same_however_the_stream_is_cut():
+def test_parsed_events_do_not_depend_on_chunk_size():
     whole = EventParser().feed(STREAM)
     assert [event.kind for event in whole] == ["message", "error", "message"]
     for size in (1, 3, 7):
@@ -35,14 +35,14 @@
         assert [event for chunk in chunks for event in parser.feed(chunk)] == whole
 
 
-def test_a_token_carries_offset_generation_and_server():
+def test_token_event_has_offset_generation_and_server():
     token = parse_token_event(EventParser().feed(STREAM)[0])
     assert token.event_id == (17, "9f3a61c2", "s-07")
     assert token.text == "ab:17 "
     assert parse_event_id("3-aa-s1").server == "s1"
 
 
-def test_a_history_reads_back_as_it_was_written():
+def test_history_round_trip():
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "history.jsonl"
         writer = HistoryWriter(path)
@@ -51,26 +51,26 @@
         assert read_history(path) == [make_record()]
 
 
-class FakeAnswer:
+class FakeResponse:
     code = 200
 
     async def json(self):
         return {"entries": [{"address": "127.0.0.3:1"}], "keep_s": 5.0}
 
 
-class FakeHttp:
+class FakeHttpClient:
     """Cancels the connection to one address, as a timeout does; answers others."""
 
     async def get(self, url, timeout):
         if "127.0.0.1" in url:
             raise error.ConnectingCancelledError("127.0.0.1:1")
-        return FakeAnswer()
+        return FakeResponse()
 
 
-def test_an_entry_that_does_not_accept_connections_is_passed_over():
+def test_entry_list_fails_over_after_connect_timeout():
     entries = EntryList(
         reactor=task.Clock(),
-        http=FakeHttp(),
+        http=FakeHttpClient(),
         bootstrap_addresses=["127.0.0.1:1", "127.0.0.2:1"],
     )
     results = []
--- a/tests/standins/test_caller_connections.py
+++ b/tests/standins/test_caller_connections.py
@@ -20,7 +20,7 @@
 
 from tests.reactor_thread import run_in_reactor
 
-FILLERS = 4
+QUEUED_CONNECTIONS = 4
 LIMITS = CallerLimits(
     connect_timeout_s=30.0, response_timeout_s=0.3, total_timeout_s=0.5
 )
@@ -29,7 +29,7 @@
 )
 
 
-class OneAddress:
+class FixedEntryList:
     def __init__(self, address: str):
         self._address = address
 
@@ -49,14 +49,14 @@
         listener = stack.enter_context(socket.socket())
         listener.bind((host, int(port)))
         listener.listen(0)
-        for _ in range(FILLERS):
-            filler = stack.enter_context(socket.socket())
-            filler.setblocking(False)
-            filler.connect_ex((host, int(port)))
+        for _ in range(QUEUED_CONNECTIONS):
+            queued_connection = stack.enter_context(socket.socket())
+            queued_connection.setblocking(False)
+            queued_connection.connect_ex((host, int(port)))
         yield address
 
 
-def test_connection_that_is_given_up_counts_as_refused():
+def test_connect_timeout_counts_as_refused():
     async def complete(address: str, path: pathlib.Path):
         history = HistoryWriter(path)
         caller = Caller(
@@ -66,7 +66,7 @@
             generator=random.Random(1),
             limits=LIMITS,
         )
-        caller.entries = OneAddress(address)
+        caller.entries = FixedEntryList(address)
         record = await caller.complete(REQUEST)
         history.close()
         return record
--- a/tests/standins/test_cluster.py
+++ b/tests/standins/test_cluster.py
@@ -22,17 +22,17 @@
     )
 
 
-def test_blocks_of_neighbouring_processes_differ():
+def test_address_blocks_of_consecutive_process_ids_differ():
     blocks = {derive_loopback_prefix(number) for number in range(1000, 60_000)}
     assert len(blocks) == 59_000
 
 
-def test_addresses_are_not_handed_out_twice():
+def test_allocated_addresses_are_unique():
     addresses = [allocate_address() for _ in range(1000)]
     assert len(set(addresses)) == len(addresses)
 
 
-def test_ready_line_then_pause_resume_and_terminate():
+def test_child_process_is_paused_resumed_and_terminated():
     script = "import time; print('ready', flush=True); time.sleep(600)"
     with tempfile.TemporaryDirectory() as folder:
         child = start_script(folder, script)
@@ -45,7 +45,7 @@
         assert not child.running
 
 
-def test_a_child_that_ends_early_shows_its_log():
+def test_error_of_early_exit_contains_child_log():
     with tempfile.TemporaryDirectory() as folder:
         child = start_script(folder, "raise SystemExit('no such model')")
         try:
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -18,10 +18,10 @@
 )
 from twisted.internet.task import Clock
 
-STEP_S = 0.01
+CLOCK_STEP_S = 0.01
 
 
-class CollectingReader:
+class RecordingReader:
     """Keeps what a run writes."""
 
     def __init__(self):
@@ -34,7 +34,7 @@
     def end(self):
         self.ended = True
 
-    def texts(self):
+    def list_texts(self):
         events = [json.loads(line[6:]) for line in self._data_lines()]
         return [event["choices"][0]["text"] for event in events][:-1]
 
@@ -43,7 +43,7 @@
         return [line for line in lines if line.startswith("data: {")]
 
 
-class Bench:
+class EngineHarness:
     """An engine on a test clock."""
 
     def __init__(self, **settings):
@@ -57,107 +57,107 @@
         )
 
     def advance(self, seconds):
-        self.clock.pump([STEP_S] * round(seconds / STEP_S))
+        self.clock.pump([CLOCK_STEP_S] * round(seconds / CLOCK_STEP_S))
 
     def start(self, run_id="r1", *, prompt="p" * 64, **fields):
         body = {"run_id": run_id, "generation": "g1", "model": "m", "prompt": prompt}
         run, offset = self.engine.start(StartRequest.from_body({**body, **fields}))
-        reader = CollectingReader()
+        reader = RecordingReader()
         run.attach(reader, offset)
         return run, reader
 
-    def refusal(self, **fields):
+    def try_start(self, **fields):
         try:
             self.start(**fields)
         except RefusedError as refused:
             return refused.status, refused.error
         return None
 
-    def records(self, event):
+    def read_records(self, event):
         lines = self.log_path.read_text().splitlines()
         return [r for r in map(json.loads, lines) if r["event"] == event]
 
 
 def test_run_ends_after_max_tokens_with_one_origin():
-    bench = Bench()
-    run, reader = bench.start(max_tokens=5)
-    bench.advance(1.0)
-    assert reader.texts() == [f"{run.origin}:{number} " for number in range(5)]
+    harness = EngineHarness()
+    run, reader = harness.start(max_tokens=5)
+    harness.advance(1.0)
+    assert reader.list_texts() == [f"{run.origin}:{number} " for number in range(5)]
     assert reader.ended
     assert reader.data.endswith(b"data: [DONE]\n\n")
 
 
-def test_continuation_keeps_the_origin_and_decodes_only_the_rest():
-    bench = Bench()
-    given = ["abcdef123456:0 ", "abcdef123456:1 "]
-    _, reader = bench.start(max_tokens=4, continue_from=given)
-    bench.advance(1.0)
-    assert reader.texts() == ["abcdef123456:2 ", "abcdef123456:3 "]
-    assert sum(r["decoded_tokens"] for r in bench.records("finish")) == 2
-    assert bench.records("continue")[0]["offset"] == 2
-
-
-def test_start_of_a_known_run_attaches_instead_of_running_again():
-    bench = Bench()
-    bench.start(max_tokens=20)
-    bench.advance(0.2)
-    _, second = bench.start(max_tokens=20, attempt=2)
-    bench.advance(1.0)
-    assert len(second.texts()) == 20
-    assert len(bench.records("start")) == 1
-    assert len(bench.records("attach")) == 1
-
-
-def test_continuation_takes_the_place_of_a_known_run_once_nobody_reads_it():
-    bench = Bench()
-    run, reader = bench.start(max_tokens=40)
-    bench.advance(0.2)
-    given = [f"{run.origin}:{number} " for number in range(20)]
-    assert bench.refusal(continue_from=given) == (409, "run_attended")
-    bench.engine.detach(run, reader)
-    _, second = bench.start(max_tokens=40, continue_from=given)
-    bench.advance(1.5)
-    assert len(second.texts()) == 20
-    assert bench.records("continue")[0]["offset"] == 20
-    assert len(bench.records("cancel")) == 1
-
-
-def test_attach_ahead_of_the_output_sends_nothing_twice():
-    bench = Bench()
-    run, _ = bench.start(max_tokens=10)
-    ahead = CollectingReader()
+def test_continuation_keeps_origin_and_decodes_only_new_tokens():
+    harness = EngineHarness()
+    prior_texts = ["abcdef123456:0 ", "abcdef123456:1 "]
+    _, reader = harness.start(max_tokens=4, continue_from=prior_texts)
+    harness.advance(1.0)
+    assert reader.list_texts() == ["abcdef123456:2 ", "abcdef123456:3 "]
+    assert sum(r["decoded_tokens"] for r in harness.read_records("finish")) == 2
+    assert harness.read_records("continue")[0]["offset"] == 2
+
+
+def test_duplicate_start_attaches_to_existing_run():
+    harness = EngineHarness()
+    harness.start(max_tokens=20)
+    harness.advance(0.2)
+    _, second = harness.start(max_tokens=20, attempt=2)
+    harness.advance(1.0)
+    assert len(second.list_texts()) == 20
+    assert len(harness.read_records("start")) == 1
+    assert len(harness.read_records("attach")) == 1
+
+
+def test_continuation_replaces_run_without_readers():
+    harness = EngineHarness()
+    run, reader = harness.start(max_tokens=40)
+    harness.advance(0.2)
+    prior_texts = [f"{run.origin}:{number} " for number in range(20)]
+    assert harness.try_start(continue_from=prior_texts) == (409, "run_attended")
+    harness.engine.detach(run, reader)
+    _, second = harness.start(max_tokens=40, continue_from=prior_texts)
+    harness.advance(1.5)
+    assert len(second.list_texts()) == 20
+    assert harness.read_records("continue")[0]["offset"] == 20
+    assert len(harness.read_records("cancel")) == 1
+
+
+def test_attach_beyond_output_delivers_only_later_tokens():
+    harness = EngineHarness()
+    run, _ = harness.start(max_tokens=10)
+    ahead = RecordingReader()
     run.attach(ahead, 7)
-    bench.advance(1.0)
-    assert ahead.texts() == [f"{run.origin}:{number} " for number in (7, 8, 9)]
+    harness.advance(1.0)
+    assert ahead.list_texts() == [f"{run.origin}:{number} " for number in (7, 8, 9)]
 
 
-def test_other_generation_and_other_digest_are_refused():
-    bench = Bench()
-    bench.start(digest="d1")
-    assert bench.refusal(digest="d1", generation="g2") == (409, "run_exists")
-    assert bench.refusal(digest="d2") == (409, "digest_mismatch")
+def test_start_with_other_generation_or_digest_is_refused():
+    harness = EngineHarness()
+    harness.start(digest="d1")
+    assert harness.try_start(digest="d1", generation="g2") == (409, "run_exists")
+    assert harness.try_start(digest="d2") == (409, "digest_mismatch")
 
 
-def test_old_fence_is_refused_only_where_it_is_checked():
-    checking, ignoring = Bench(checks_fence=True), Bench()
-    for bench in (checking, ignoring):
-        bench.start(fence=5)
-        bench.engine.cancel("r1", None)
-    assert checking.refusal(fence=4) == (409, "stale_fence")
-    assert ignoring.refusal(fence=4) is None
+def test_stale_fence_is_refused_only_if_fences_are_checked():
+    checking, ignoring = EngineHarness(checks_fence=True), EngineHarness()
+    for harness in (checking, ignoring):
+        harness.start(fence=5)
+        harness.engine.cancel("r1", None)
+    assert checking.try_start(fence=4) == (409, "stale_fence")
+    assert ignoring.try_start(fence=4) is None
 
 
-def test_refusals_that_prove_that_nothing_ran():
-    bench = Bench(capacity=1, max_waiting=1)
-    assert bench.refusal(model="other") == (404, "model_not_loaded")
-    bench.start("r1")
-    bench.start("r2")
-    assert bench.refusal(run_id="r3") == (429, "full")
-    bench.engine.state.leaving = True
-    assert bench.refusal(run_id="r4") == (503, "leaving")
+def test_start_is_refused_if_model_missing_full_or_leaving():
+    harness = EngineHarness(capacity=1, max_waiting=1)
+    assert harness.try_start(model="other") == (404, "model_not_loaded")
+    harness.start("r1")
+    harness.start("r2")
+    assert harness.try_start(run_id="r3") == (429, "full")
+    harness.engine.state.leaving = True
+    assert harness.try_start(run_id="r4") == (503, "leaving")
 
 
-def test_batch_slows_down_as_it_grows():
+def test_step_time_grows_with_batch_size():
     settings = EngineSettings(name="s1", model="m")
     assert settings.compute_step_duration_s(1) == 0.02
     assert settings.compute_step_duration_s(16) == 0.04
@@ -168,60 +168,60 @@
     )
 
 
-def test_uncached_prompt_costs_prefill_and_a_cached_one_does_not():
-    bench = Bench(prefill_tokens_per_s=400.0)
+def test_only_uncached_prompt_requires_prefill():
+    harness = EngineHarness(prefill_tokens_per_s=400.0)
     prompt = "x" * 1600
-    _, first = bench.start("r1", prompt=prompt, max_tokens=1)
-    bench.advance(0.9)
+    _, first = harness.start("r1", prompt=prompt, max_tokens=1)
+    harness.advance(0.9)
     assert not first.ended
-    bench.advance(0.3)
+    harness.advance(0.3)
     assert first.ended
-    _, second = bench.start("r2", prompt=prompt, max_tokens=1)
-    bench.advance(0.1)
+    _, second = harness.start("r2", prompt=prompt, max_tokens=1)
+    harness.advance(0.1)
     assert second.ended
-    counted = [r["prefill_tokens"] for r in bench.records("token_count")]
+    counted = [r["prefill_tokens"] for r in harness.read_records("token_count")]
     assert counted == [400, 0]
 
 
 def test_higher_priority_is_admitted_first():
-    bench = Bench(capacity=1)
-    bench.start("busy", max_tokens=5)
-    _, low = bench.start("low", priority=2, max_tokens=20)
-    _, high = bench.start("high", priority=0, max_tokens=5)
-    bench.advance(0.4)
+    harness = EngineHarness(capacity=1)
+    harness.start("busy", max_tokens=5)
+    _, low = harness.start("low", priority=2, max_tokens=20)
+    _, high = harness.start("high", priority=0, max_tokens=5)
+    harness.advance(0.4)
     assert high.ended
     assert not low.ended
 
 
-def test_cancel_spares_a_run_that_a_later_attempt_took_up():
-    bench = Bench()
-    run, reader = bench.start(max_tokens=50, attempt=2)
-    assert not bench.engine.cancel("r1", 1)
-    assert bench.engine.cancel("r1", 2)
-    bench.advance(1.0)
+def test_cancel_by_earlier_attempt_is_ignored():
+    harness = EngineHarness()
+    run, reader = harness.start(max_tokens=50, attempt=2)
+    assert not harness.engine.cancel("r1", 1)
+    assert harness.engine.cancel("r1", 2)
+    harness.advance(1.0)
     assert reader.ended
     assert reader.data == b""
-    assert len(bench.records("cancel")) == 1
+    assert len(harness.read_records("cancel")) == 1
 
 
-def test_unattended_run_is_cancelled_and_ended_output_is_dropped():
-    bench = Bench(unattended_s=2.0, keep_s=2.0)
-    lonely, reader = bench.start("lonely", max_tokens=1000)
-    bench.start("short", max_tokens=1)
-    bench.engine.detach(lonely, reader)
-    bench.advance(1.5)
-    assert bench.engine.find("lonely", "g1", 0) is lonely
-    bench.advance(3.0)
+def test_unattended_run_is_cancelled_and_finished_output_expires():
+    harness = EngineHarness(unattended_s=2.0, keep_s=2.0)
+    lonely, reader = harness.start("lonely", max_tokens=1000)
+    harness.start("short", max_tokens=1)
+    harness.engine.detach(lonely, reader)
+    harness.advance(1.5)
+    assert harness.engine.find("lonely", "g1", 0) is lonely
+    harness.advance(3.0)
     for run_id in ("lonely", "short"):
         try:
-            bench.engine.find(run_id, "g1", 0)
+            harness.engine.find(run_id, "g1", 0)
         except RefusedError as refused:
             assert refused.error == "run_unknown"
         else:
             raise AssertionError(f"{run_id} is still known")
 
 
-def test_cache_events_come_late_and_with_gaps():
+def test_cache_events_are_delayed_and_lossy():
     clock = Clock()
     feed = CacheEventFeed(
         delay_s=1.0, loss_share=0.3, generator=random.Random(1), clock=clock.seconds
@@ -230,14 +230,14 @@
     cache.store(hash_prefixes("a" * 64 * 40))
     assert feed.list_since(0) == ([], 0)
     clock.advance(1.0)
-    events, following = feed.list_since(0)
+    events, next_sequence = feed.list_since(0)
     numbers = [event.sequence for event in events]
-    assert len(numbers) < numbers[-1] == following - 1
+    assert len(numbers) < numbers[-1] == next_sequence - 1
     assert {event.kind for event in events} == {"stored", "evicted"}
     assert len(cache) == 2
 
 
-def test_evicted_blocks_are_the_ends_of_prefixes():
+def test_last_blocks_of_prefix_are_evicted_first():
     feed = CacheEventFeed(
         delay_s=0.0, loss_share=0.0, generator=random.Random(1), clock=Clock().seconds
     )
@@ -247,27 +247,27 @@
     assert cache.count_cached(prefixes) == 2
 
 
-def test_load_report_lags():
-    bench = Bench(load_lag_s=1.0)
-    load = LoadSampler(bench.engine, bench.clock)
-    bench.start(max_tokens=1000)
-    bench.advance(0.5)
+def test_load_report_is_delayed():
+    harness = EngineHarness(load_lag_s=1.0)
+    load = LoadSampler(harness.engine, harness.clock)
+    harness.start(max_tokens=1000)
+    harness.advance(0.5)
     assert load.report()["running"] == 0
     assert load.report()["measured_ms_ago"] >= 490
-    bench.advance(0.6)
+    harness.advance(0.6)
     assert load.report()["running"] == 1
 
 
-def test_orders_take_time_and_old_fences_are_refused():
-    bench = Bench(checks_fence=True, order_s=0.5)
+def test_orders_are_delayed_and_stale_fences_refused():
+    harness = EngineHarness(checks_fence=True, order_s=0.5)
     order = {"order_id": "o1", "kind": "load", "target": "model", "name": "m2"}
-    bench.engine.state.accept_order({**order, "fence": 3})
-    assert bench.refusal(model="m2") == (404, "model_not_loaded")
-    bench.advance(0.6)
-    assert bench.refusal(model="m2") is None
-    assert bench.engine.state.fence == 3
+    harness.engine.state.accept_order({**order, "fence": 3})
+    assert harness.try_start(model="m2") == (404, "model_not_loaded")
+    harness.advance(0.6)
+    assert harness.try_start(model="m2") is None
+    assert harness.engine.state.fence == 3
     try:
-        bench.engine.state.accept_order({**order, "order_id": "o2", "fence": 2})
+        harness.engine.state.accept_order({**order, "order_id": "o2", "fence": 2})
     except Exception as error:
         assert type(error).__name__ == "StaleFenceError"
     else:
--- a/tests/standins/test_fault_proxy.py
+++ b/tests/standins/test_fault_proxy.py
@@ -12,14 +12,14 @@
 
 from ebonyhaven_standins.cluster import derive_loopback_prefix
 
-DEADLINE_S = 30.0
-SHORT_WAIT_S = 0.3
+TIMEOUT_S = 30.0
+SILENCE_TIMEOUT_S = 0.3
 CONTROL_PORT, TARGET_PORT, LINK_PORT, ENGINE_PORT = 31001, 31002, 31003, 31004
 # Past the hosts that a cluster of the same process uses first.
 HOST_NUMBER = 254
 
 
-def find_host():
+def derive_host():
     return f"{derive_loopback_prefix(os.getpid())}.{HOST_NUMBER}"
 
 
@@ -41,7 +41,7 @@
 
 def call(port, path, body):
     with contextlib.closing(
-        http.client.HTTPConnection(find_host(), port)
+        http.client.HTTPConnection(derive_host(), port)
     ) as connection:
         connection.request("POST", path, json.dumps(body))
         answer = connection.getresponse()
@@ -55,34 +55,36 @@
 
 def connect(listener):
     """Return both ends of one connection through the link."""
-    client = socket.create_connection((find_host(), LINK_PORT), timeout=DEADLINE_S)
+    client = socket.create_connection((derive_host(), LINK_PORT), timeout=TIMEOUT_S)
     target, _ = listener.accept()
-    target.settimeout(DEADLINE_S)
+    target.settimeout(TIMEOUT_S)
     return client, target
 
 
-def is_silent(end):
-    end.settimeout(SHORT_WAIT_S)
+def is_silent(sock):
+    sock.settimeout(SILENCE_TIMEOUT_S)
     try:
-        end.recv(1)
+        sock.recv(1)
     except TimeoutError:
         return True
     finally:
-        end.settimeout(DEADLINE_S)
+        sock.settimeout(TIMEOUT_S)
     return False
 
 
 @contextlib.contextmanager
-def proxied_listener():
+def open_proxied_listener():
     with contextlib.ExitStack() as stack:
-        proxy = launch("fault_proxy", "--control", f"{find_host()}:{CONTROL_PORT}")
+        proxy = launch("fault_proxy", "--control", f"{derive_host()}:{CONTROL_PORT}")
         stack.callback(stop, proxy)
-        listener = stack.enter_context(socket.create_server((find_host(), TARGET_PORT)))
-        listener.settimeout(DEADLINE_S)
+        listener = stack.enter_context(
+            socket.create_server((derive_host(), TARGET_PORT))
+        )
+        listener.settimeout(TIMEOUT_S)
         link = {
             "name": "link",
-            "listen": f"{find_host()}:{LINK_PORT}",
-            "target": f"{find_host()}:{TARGET_PORT}",
+            "listen": f"{derive_host()}:{LINK_PORT}",
+            "target": f"{derive_host()}:{TARGET_PORT}",
             "side_a": "a",
             "side_b": "b",
         }
@@ -90,13 +92,13 @@
         yield stack, listener
 
 
-def test_silenced_connections_stay_silent_and_new_ones_work():
-    with proxied_listener() as (stack, listener):
-        old = [stack.enter_context(end) for end in connect(listener)]
+def test_silence_open_is_permanent_for_existing_connections_only():
+    with open_proxied_listener() as (stack, listener):
+        old = [stack.enter_context(sock) for sock in connect(listener)]
         old[0].sendall(b"1")
         assert old[1].recv(1) == b"1"
         set_fault("silence_open")
-        new = [stack.enter_context(end) for end in connect(listener)]
+        new = [stack.enter_context(sock) for sock in connect(listener)]
         new[0].sendall(b"2")
         assert new[1].recv(1) == b"2"
         set_fault("none")
@@ -106,9 +108,9 @@
         assert is_silent(old[1])
 
 
-def test_one_way_loss_holds_bytes_and_the_close_until_it_ends():
-    with proxied_listener() as (stack, listener):
-        client, target = (stack.enter_context(end) for end in connect(listener))
+def test_one_way_loss_delays_data_and_close_until_cleared():
+    with open_proxied_listener() as (stack, listener):
+        client, target = (stack.enter_context(sock) for sock in connect(listener))
         set_fault("lose_to_target")
         client.sendall(b"12")
         target.sendall(b"34")
@@ -120,9 +122,9 @@
         assert target.recv(1) == b""
 
 
-def test_partition_between_sides_and_its_end():
-    with proxied_listener() as (stack, listener):
-        client, target = (stack.enter_context(end) for end in connect(listener))
+def test_partition_blocks_both_directions_until_cleared():
+    with open_proxied_listener() as (stack, listener):
+        client, target = (stack.enter_context(sock) for sock in connect(listener))
         sides = {"side_a": "b", "side_b": "a"}
         assert call(CONTROL_PORT, "/faults", {**sides, "kind": "partition"})[0] == 200
         client.sendall(b"1")
@@ -133,49 +135,51 @@
         assert (client.recv(1), target.recv(1)) == (b"2", b"1")
 
 
-def test_reset_aborts_open_connections_and_new_ones_work():
-    with proxied_listener() as (stack, listener):
-        client, _ = (stack.enter_context(end) for end in connect(listener))
+def test_reset_aborts_open_connections_but_not_new_ones():
+    with open_proxied_listener() as (stack, listener):
+        client, _ = (stack.enter_context(sock) for sock in connect(listener))
         set_fault("reset")
         with contextlib.suppress(ConnectionResetError):
             assert client.recv(1) == b""
-        again, target = (stack.enter_context(end) for end in connect(listener))
-        again.sendall(b"1")
+        new_client, target = (stack.enter_context(sock) for sock in connect(listener))
+        new_client.sendall(b"1")
         assert target.recv(1) == b"1"
 
 
-def test_refuse_closes_the_port_until_it_ends():
-    with proxied_listener() as (stack, listener):
+def test_refuse_rejects_connections_until_cleared():
+    with open_proxied_listener() as (stack, listener):
         set_fault("refuse")
         with contextlib.suppress(ConnectionRefusedError):
             socket.create_connection(
-                (find_host(), LINK_PORT), timeout=DEADLINE_S
+                (derive_host(), LINK_PORT), timeout=TIMEOUT_S
             ).close()
             raise AssertionError("the connection was accepted")
         set_fault("none")
-        for end in connect(listener):
-            stack.enter_context(end)
+        for sock in connect(listener):
+            stack.enter_context(sock)
 
 
-def test_engine_behind_the_proxy_survives_a_cut_and_crashes_on_the_mark():
+def test_engine_survives_client_disconnect_and_crashes_on_marker():
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         log = pathlib.Path(folder) / "log"
-        options = ("--address", f"{find_host()}:{ENGINE_PORT}", "--log", str(log))
+        options = ("--address", f"{derive_host()}:{ENGINE_PORT}", "--log", str(log))
         engine = launch("engine", "--name", "s1", "--model", "m", *options)
         stack.callback(stop, engine)
         start = {"run_id": "r1", "generation": "g", "model": "m", "prompt": "p"}
-        cut = http.client.HTTPConnection(find_host(), ENGINE_PORT)
-        cut.request("POST", "/v1/completions", json.dumps({**start, "max_tokens": 20}))
-        assert cut.getresponse().getheader("Engine-Running") == "1"
-        cut.close()
+        first_connection = http.client.HTTPConnection(derive_host(), ENGINE_PORT)
+        first_connection.request(
+            "POST", "/v1/completions", json.dumps({**start, "max_tokens": 20})
+        )
+        assert first_connection.getresponse().getheader("Engine-Running") == "1"
+        first_connection.close()
         status, body = call(ENGINE_PORT, "/v1/completions", {**start, "max_tokens": 20})
         assert status == 200
         assert body.count(b"id: ") == 21
         crash = {**start, "run_id": "r2", "prompt": "a [[crash]] b"}
         with contextlib.suppress(http.client.HTTPException, ConnectionError):
             call(ENGINE_PORT, "/v1/completions", crash)
-        assert engine.wait(DEADLINE_S) != 0
+        assert engine.wait(TIMEOUT_S) != 0
         events = [json.loads(line)["event"] for line in log.read_text().splitlines()]
         assert events[-1] == "crash"
         assert events.count("start") == 2
--- a/tests/standins/test_load_measures.py
+++ b/tests/standins/test_load_measures.py
@@ -25,44 +25,50 @@
     return record | options
 
 
-def test_late_cut_or_slow_requests_are_not_in_target():
+def test_late_interrupted_or_slow_requests_miss_target():
     assert measures.is_in_target(make_record(), LIMITS)
     assert not measures.is_in_target(make_record(first_token_s=1.6), LIMITS)
     assert not measures.is_in_target(make_record(outcome="cut"), LIMITS)
     assert not measures.is_in_target(make_record(ended_s=2.0), LIMITS)
 
 
-def test_goodput_counts_tokens_of_the_window_only():
+def test_goodput_counts_only_in_target_tokens_of_window():
     late = make_record(first_token_s=1.6)
     window = Window(1.22, 2.22)
     assert measures.measure_goodput([make_record(), late], LIMITS, window) == 2.0
 
 
-def test_jain_tells_equal_from_unequal_service():
+def test_jain_index_of_equal_and_unequal_service():
     assert measures.compute_jain([5, 5, 5]) == 1.0
     assert measures.compute_jain([1, 0, 0]) == 0.3333
     assert measures.compute_jain([0, 0]) is None
 
 
-def test_backlogged_are_those_over_their_max_min_share():
+def test_backlogged_workspaces_exceed_their_max_min_share():
     demands = {"a": 60.0, "b": 50.0, "c": 10.0}
     assert set(measures.find_backlogged(demands, 100.0)) == {"a", "b"}
     assert measures.find_backlogged(demands, 120.0) == []
 
 
-def test_recovery_ends_with_the_last_bad_step():
-    good = [make_record(at_s=at_s / 10, first_token_s=at_s / 10) for at_s in range(90)]
-    bad = [make_record(at_s=2.5, outcome="refused") for _ in range(5)]
-    found = measures.measure_recovery_s(good + bad, LIMITS, fault_s=1.0, end_s=9.0)
-    assert found == 2.0
-    never = [make_record(at_s=8.5, outcome="refused") for _ in range(5)]
+def test_recovery_time_ends_at_last_step_below_target():
+    in_target = [
+        make_record(at_s=at_s / 10, first_token_s=at_s / 10) for at_s in range(90)
+    ]
+    rejected = [make_record(at_s=2.5, outcome="refused") for _ in range(5)]
+    recovery_s = measures.measure_recovery_s(
+        in_target + rejected, LIMITS, fault_s=1.0, end_s=9.0
+    )
+    assert recovery_s == 2.0
+    rejected_until_end = [make_record(at_s=8.5, outcome="refused") for _ in range(5)]
     assert (
-        measures.measure_recovery_s(good + never, LIMITS, fault_s=1.0, end_s=9.0)
+        measures.measure_recovery_s(
+            in_target + rejected_until_end, LIMITS, fault_s=1.0, end_s=9.0
+        )
         is None
     )
 
 
-def test_refusal_is_read_with_its_retry_time():
+def test_refusal_is_parsed_with_retry_delay():
     text = b'{"error": {"outcome": "not_run", "retry_after_s": 2.5}}'
     assert read_refusal(text) == ("refused", 2.5)
     assert read_refusal(b'{"error": {"outcome": "unknown"}}') == ("unknown", None)
--- a/tests/standins/test_slopes.py
+++ b/tests/standins/test_slopes.py
@@ -18,7 +18,7 @@
 )
 
 
-def test_a_line_is_found_with_its_error():
+def test_line_fit_and_its_error():
     fit = fit_line([Point(x, 5.0 + 2.0 * x) for x in (1, 2, 4, 8)])
     assert abs(fit.slope - 2.0) < 1e-9
     assert abs(fit.intercept - 5.0) < 1e-9
@@ -27,13 +27,13 @@
     assert noisy.error_percent > 10.0
 
 
-def test_repeated_values_give_mean_and_half_range():
+def test_mean_fit_reports_half_range_as_error():
     fit = fit_mean([Point(0, 9.0), Point(1, 11.0)])
     assert fit.intercept == 10.0
     assert fit.error_percent == 10.0
 
 
-def test_figures_keep_three_digits():
+def test_figures_have_three_significant_digits():
     figures = [0.0, 0.01234, 12.345, 1234.5, 45_678.0]
     assert [format_figure(f) for f in figures] == [
         "0",
@@ -44,7 +44,7 @@
     ]
 
 
-def test_only_the_text_between_the_marks_is_replaced():
+def test_only_text_between_table_markers_is_replaced():
     page = "a\n<!-- t:begin -->\nold\n<!-- t:end -->\nb\n"
     assert (
         replace_tables(page, {"t": "new"})
@@ -52,12 +52,12 @@
     )
 
 
-def test_every_row_is_measured_once():
+def test_every_quantity_has_one_benchmark():
     measured = [key for measure in BENCHMARKS.values() for key in measure.keys]
     assert sorted(measured) == sorted(row.key for row in QUANTITIES)
 
 
-def test_the_state_that_is_counted_can_be_built():
+def test_allocated_bytes_grow_with_size():
     builders = (
         _memory.build_membership,
         _memory.build_server_table,
@@ -71,13 +71,13 @@
         assert points[1].value > points[0].value > 0, build
 
 
-def test_a_small_group_learns_of_a_loss():
-    group = _membership.MembershipSimulation(9)
-    group.run(2.0)
-    name = next(iter(group.members))
-    group.stopped.add(name)
+def test_membership_detects_stopped_member():
+    simulation = _membership.MembershipSimulation(9)
+    simulation.run(2.0)
+    name = next(iter(simulation.members))
+    simulation.stopped.add(name)
     for _ in range(20):
-        group.run(1.0)
-        if not group.count_diverging_views({name}, _losses.FAILED_STATES):
+        simulation.run(1.0)
+        if not simulation.count_diverging_views({name}, _losses.FAILED_STATES):
             return
     raise AssertionError("the loss was not noticed")
