--- a/tests/docs/test_capacity.py
+++ b/tests/docs/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page, the tool behind it and the points agree."""
+"""Tests that the capacity page matches the slopes tool and the measured points."""
 
 from __future__ import annotations
 
--- a/tests/docs/test_commands.py
+++ b/tests/docs/test_commands.py
@@ -1,4 +1,4 @@
-"""Runs the commands and examples of the pages as they stand there."""
+"""Tests that run the commands and examples of the pages without changes."""
 
 from __future__ import annotations
 
--- a/tests/standins/test_caller.py
+++ b/tests/standins/test_caller.py
@@ -1,4 +1,4 @@
-"""Tests of the caller stand-in's parts that need no sockets."""
+"""Tests of the caller's event parser, history and entry list without sockets."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def test_parsed_events_do_not_depend_on_chunk_size():
-    whole = EventParser().feed(STREAM)
-    assert [event.kind for event in whole] == ["message", "error", "message"]
+    expected = EventParser().feed(STREAM)
+    assert [event.kind for event in expected] == ["message", "error", "message"]
     for size in (1, 3, 7):
         parser = EventParser()
         chunks = [STREAM[i : i + size] for i in range(0, len(STREAM), size)]
-        assert [event for chunk in chunks for event in parser.feed(chunk)] == whole
+        assert [event for chunk in chunks for event in parser.feed(chunk)] == expected
 
 
 def test_token_event_has_offset_generation_and_server():
@@ -59,7 +59,7 @@
 
 
 class FakeHttpClient:
-    """Cancels the connection to one address, as a timeout does; answers others."""
+    """HTTP client whose connection to one address is cancelled by a timeout."""
 
     async def get(self, url, timeout):
         if "127.0.0.1" in url:
--- a/tests/standins/test_caller_connections.py
+++ b/tests/standins/test_caller_connections.py
@@ -1,4 +1,4 @@
-"""Tests of the caller stand-in with sockets that never become connections."""
+"""Tests of the caller with connections that are never established."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
 from tests.reactor_thread import run_in_reactor
 
 QUEUED_CONNECTIONS = 4
+# answer_s expires before connect_s and cancels the pending connection.
 LIMITS = CallerLimits(
     connect_timeout_s=30.0, response_timeout_s=0.3, total_timeout_s=0.5
 )
@@ -37,12 +38,12 @@
         return self._address
 
     def mark_failed(self, address: str) -> None:
-        """Keep the address all the same."""
+        """Keep the only address."""
 
 
 @contextlib.contextmanager
 def listen_without_accepting() -> Iterator[str]:
-    """Yield an address whose queue of connections is full."""
+    """Yield the address of a listener whose accept queue is full."""
     address = allocate_address()
     host, _, port = address.rpartition(":")
     with contextlib.ExitStack() as stack:
--- a/tests/standins/test_checker.py
+++ b/tests/standins/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each kind of violation and passes a clean history."""
+"""Tests that the checker reports each violation and accepts a clean history."""
 
 from __future__ import annotations
 
@@ -133,7 +133,7 @@
 
 
 def make_switched_record():
-    """Tokens 0 to 1 of s1, 2 to 3 of s2, then 4 to 5 of s1."""
+    """Return a record with tokens 0 and 1 from s1, 2 and 3 from s2, 4 and 5 from s1."""
     servers = ("s1", "s1", "s2", "s2", "s1", "s1")
     tokens = [make_token(offset, server=name) for offset, name in enumerate(servers)]
     return make_record(tokens=tokens)
@@ -165,9 +165,9 @@
 def test_token_of_another_request_is_reported():
     tokens = make_record()["tokens"]
     tokens[5] = make_token(5, origin="000000ffffff")
-    found = list_kinds(run_check(make_record(tokens=tokens)))
-    assert ViolationKind.FOREIGN_ANSWER in found
-    assert ViolationKind.MIXED_ANSWER in found
+    kinds = list_kinds(run_check(make_record(tokens=tokens)))
+    assert ViolationKind.FOREIGN_ANSWER in kinds
+    assert ViolationKind.MIXED_ANSWER in kinds
 
 
 def make_refusal(**changes):
@@ -212,10 +212,10 @@
 
 def test_work_on_server_that_left_is_reported():
     leaving = TimelineEvent(3.0, TimelineKind.SERVER_LEAVING, "s1")
-    back = TimelineEvent(5.0, TimelineKind.SERVER_LIVE, "s1")
+    live = TimelineEvent(5.0, TimelineKind.SERVER_LIVE, "s1")
     report = run_check(timeline=[leaving])
     assert list_kinds(report) == [ViolationKind.WORK_AFTER_LEAVING]
-    assert run_check(timeline=[leaving, back]).passed
+    assert run_check(timeline=[leaving, live]).passed
     assert run_check(timeline=[leaving._replace(time=5.0)]).passed
 
 
--- a/tests/standins/test_cluster.py
+++ b/tests/standins/test_cluster.py
@@ -1,4 +1,4 @@
-"""Tests of the processes that other tests are built on."""
+"""Tests of child processes and the allocation of loopback addresses."""
 
 from __future__ import annotations
 
@@ -55,4 +55,4 @@
             assert error.peer == "child"
             assert "no such model" in error.reason
         else:
-            raise AssertionError("the wait should have failed")
+            raise AssertionError("waiting for a child that exited did not fail")
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -22,7 +22,7 @@
 
 
 class RecordingReader:
-    """Keeps what a run writes."""
+    """Reader that records the output of a run."""
 
     def __init__(self):
         self.data = b""
@@ -44,7 +44,7 @@
 
 
 class EngineHarness:
-    """An engine on a test clock."""
+    """Engine on a simulated clock, with access to its execution log."""
 
     def __init__(self, **settings):
         folder = tempfile.mkdtemp()
@@ -67,6 +67,7 @@
         return run, reader
 
     def try_start(self, **fields):
+        """Start a run; return the status and error of a refusal, None otherwise."""
         try:
             self.start(**fields)
         except RefusedError as refused:
@@ -148,6 +149,7 @@
 
 
 def test_start_is_refused_if_model_missing_full_or_leaving():
+    """Each of these refusals means that nothing was started."""
     harness = EngineHarness(capacity=1, max_waiting=1)
     assert harness.try_start(model="other") == (404, "model_not_loaded")
     harness.start("r1")
@@ -206,11 +208,11 @@
 
 def test_unattended_run_is_cancelled_and_finished_output_expires():
     harness = EngineHarness(unattended_s=2.0, keep_s=2.0)
-    lonely, reader = harness.start("lonely", max_tokens=1000)
+    unattended_run, reader = harness.start("lonely", max_tokens=1000)
     harness.start("short", max_tokens=1)
-    harness.engine.detach(lonely, reader)
+    harness.engine.detach(unattended_run, reader)
     harness.advance(1.5)
-    assert harness.engine.find("lonely", "g1", 0) is lonely
+    assert harness.engine.find("lonely", "g1", 0) is unattended_run
     harness.advance(3.0)
     for run_id in ("lonely", "short"):
         try:
@@ -218,7 +220,7 @@
         except RefusedError as refused:
             assert refused.error == "run_unknown"
         else:
-            raise AssertionError(f"{run_id} is still known")
+            raise AssertionError(f"run {run_id} is still known")
 
 
 def test_cache_events_are_delayed_and_lossy():
@@ -271,4 +273,4 @@
     except Exception as error:
         assert type(error).__name__ == "StaleFenceError"
     else:
-        raise AssertionError("an old fence was accepted")
+        raise AssertionError("a stale fence was accepted")
--- a/tests/standins/test_fault_proxy.py
+++ b/tests/standins/test_fault_proxy.py
@@ -15,7 +15,7 @@
 TIMEOUT_S = 30.0
 SILENCE_TIMEOUT_S = 0.3
 CONTROL_PORT, TARGET_PORT, LINK_PORT, ENGINE_PORT = 31001, 31002, 31003, 31004
-# Past the hosts that a cluster of the same process uses first.
+# Clusters in the same process allocate hosts from 1 upwards.
 HOST_NUMBER = 254
 
 
@@ -54,7 +54,7 @@
 
 
 def connect(listener):
-    """Return both ends of one connection through the link."""
+    """Open a connection through the link; return its client and target sockets."""
     client = socket.create_connection((derive_host(), LINK_PORT), timeout=TIMEOUT_S)
     target, _ = listener.accept()
     target.settimeout(TIMEOUT_S)
--- a/tests/standins/test_resuming.py
+++ b/tests/standins/test_resuming.py
@@ -2,7 +2,7 @@
 
 from ebonyhaven_standins.resuming import RecoveryStrategy, run_experiment
 
-DURATION_S = 20.0  # three losses of a data centre
+DURATION_S = 20.0  # includes three data centre losses
 
 
 def test_streams_with_copies_meet_targets_during_data_centre_losses():
--- a/tests/standins/test_slopes.py
+++ b/tests/standins/test_slopes.py
@@ -1,4 +1,4 @@
-"""Tests of the lines through measured points and of the tables."""
+"""Tests of fits, tables, benchmarked quantities and simulated membership."""
 
 from __future__ import annotations
 
@@ -53,8 +53,8 @@
 
 
 def test_every_quantity_has_one_benchmark():
-    measured = [key for measure in BENCHMARKS.values() for key in measure.keys]
-    assert sorted(measured) == sorted(row.key for row in QUANTITIES)
+    measured = [key for benchmark in BENCHMARKS.values() for key in benchmark.keys]
+    assert sorted(measured) == sorted(quantity.key for quantity in QUANTITIES)
 
 
 def test_allocated_bytes_grow_with_size():
@@ -80,4 +80,4 @@
         simulation.run(1.0)
         if not simulation.count_diverging_views({name}, _losses.FAILED_STATES):
             return
-    raise AssertionError("the loss was not noticed")
+    raise AssertionError("the stopped member was not detected")
