--- a/packages/standins/src/ebonyhaven_standins/bench/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/__init__.py
@@ -1,3 +1,3 @@
-"""Measurements on real processes, and of decisions alone."""
+"""Benchmarks on real node processes, and of the decision functions in isolation."""
 
 from __future__ import annotations
--- a/packages/standins/src/ebonyhaven_standins/bench/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the bench."""
+"""Command line that runs the benchmark scenarios."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import typer
 from twisted.internet import defer, task
 
-from ebonyhaven_standins.bench._catalogue import BenchScenario, Size
+from ebonyhaven_standins.bench._bench_scenario import BenchScenario, Size
 from ebonyhaven_standins.bench._scenarios import list_scenarios
 
 RESULTS = pathlib.Path("bench") / "results"
@@ -37,11 +37,12 @@
 
 
 def select_scenarios(only: list[str] | None) -> list[BenchScenario]:
-    """Return the scenarios of the given names, or all.
+    """Return the scenarios with the given names.
 
     Parameters
     ----------
     only : list of str or None
+        Names of the scenarios; None or an empty list selects all.
 
     Returns
     -------
@@ -50,7 +51,7 @@
     Raises
     ------
     typer.BadParameter
-        For an unknown name.
+        If a name is unknown.
     """
     scenarios = {scenario.name: scenario for scenario in list_scenarios()}
     if not only:
@@ -65,7 +66,7 @@
 async def run_scenarios(
     reactor: Any, scenarios: list[BenchScenario], size: Size, results: pathlib.Path
 ) -> None:
-    """Run scenarios one after another.
+    """Run scenarios sequentially, printing and storing the result of each.
 
     Parameters
     ----------
@@ -74,18 +75,18 @@
     scenarios : list of BenchScenario
     size : Size
     results : pathlib.Path
-        Folder for one file a scenario.
+        Folder for the result files, one per scenario.
 
     Raises
     ------
     SystemExit
-        With code 1 if something that must always hold was broken.
+        With code 1 if a scenario counted violations, otherwise 0.
     """
     results.mkdir(parents=True, exist_ok=True)
-    broken = 0
+    violation_count = 0
     for scenario in scenarios:
         figures = await scenario.run(reactor, size)
-        broken += figures["broken"]
+        violation_count += figures["broken"]
         record = {
             "scenario": scenario.name,
             "size": str(size),
@@ -97,7 +98,7 @@
         print(json.dumps(record), flush=True)
         path = results / f"{scenario.name}-{size}.json"
         path.write_text(json.dumps(record, indent=2) + "\n")
-    raise SystemExit(1 if broken else 0)
+    raise SystemExit(1 if violation_count else 0)
 
 
 if __name__ == "__main__":
--- a/packages/standins/src/ebonyhaven_standins/bench/_catalogue.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_bench_scenario.py
@@ -1,4 +1,4 @@
-"""What a scenario of the bench is, and its size."""
+"""Interface of a benchmark scenario."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class Size(enum.StrEnum):
-    """How long a scenario runs."""
+    """Extent of a scenario: number of seeds, requests and faults, and duration."""
 
     SHORT = "short"
     FULL = "full"
 
 
 class BenchScenario(abc.ABC):
-    """One measurement of the bench.
+    """One measurement on a deployment.
 
     Parameters
     ----------
     name : str
-        Name on the command line and of the file of results.
+        Name on the command line; also the prefix of the name of the result file.
     """
 
     def __init__(self, name: str):
@@ -28,7 +28,7 @@
 
     @abc.abstractmethod
     async def run(self, reactor: Any, size: Size) -> dict[str, Any]:
-        """Measure and return the figures as one JSON object.
+        """Run the measurement and return its figures.
 
         Parameters
         ----------
@@ -39,5 +39,5 @@
         Returns
         -------
         dict
-            Member ``broken`` counts violations of what must always hold.
+            JSON object; its member ``broken`` counts violations of invariants.
         """
--- a/packages/standins/src/ebonyhaven_standins/bench/_load_measures.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_load_measures.py
@@ -1,4 +1,4 @@
-"""Figures of a load scenario from what its callers saw."""
+"""Figures of a load scenario, computed from the records of its callers."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from ebonyhaven_standins.bench._open_loop import COMPLETED, LoadRecord
 
-TARGET_SHARE = 0.95
+RECOVERED_IN_TARGET_SHARE = 0.95
 RECOVERY_STEP_S = 1.0
 
 
-class Limits(NamedTuple):
-    """Targets of a class as its callers see them, seconds."""
+class LatencyTargets(NamedTuple):
+    """Latency targets of a request class as measured by callers, seconds."""
 
     first_token_s: float
     gap_s: float
 
 
 class Window(NamedTuple):
-    """Part of a run, seconds after its start."""
+    """Time interval of a run, seconds after its start; excludes `end_s`."""
 
     begin_s: float
     end_s: float
@@ -31,22 +31,22 @@
         return self.end_s - self.begin_s
 
 
-def find_quantile(values: Iterable[float], share: float) -> float | None:
-    """Return the value under which a share of the values lies, or None."""
+def compute_quantile(values: Iterable[float], share: float) -> float | None:
+    """Return the quantile of the values at a share from 0 to 1; None if empty."""
     ordered = sorted(values)
     if not ordered:
         return None
     return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
 
-def select(
+def select_records(
     records: Iterable[LoadRecord],
     window: Window,
     *,
     class_name: str | None = None,
     workspace: str | None = None,
 ) -> list[LoadRecord]:
-    """Return the requests that arrived in a window."""
+    """Return the records of requests that arrived in a window, filtered if given."""
     return [
         record
         for record in records
@@ -59,65 +59,72 @@
 def measure_first_token_s(records: Iterable[LoadRecord], share: float) -> float | None:
     """Return a quantile of the time from arrival to first token, seconds.
 
-    Refused requests are left out; `measure_share_in_target` counts them.
+    Excludes requests without a token; `compute_in_target_share` includes them.
     """
-    waits = [
+    latencies_s = [
         record["first_token_s"] - record["at_s"]
         for record in records
         if record["first_token_s"] is not None
     ]
-    found = find_quantile(waits, share)
-    return None if found is None else round(found, 4)
+    quantile_s = compute_quantile(latencies_s, share)
+    return None if quantile_s is None else round(quantile_s, 4)
 
 
-def is_in_target(record: LoadRecord, limits: Mapping[str, Limits]) -> bool:
-    """Return whether a request was answered whole and in time."""
+def is_in_target(
+    record: LoadRecord, targets_by_class: Mapping[str, LatencyTargets]
+) -> bool:
+    """Return whether a request completed within both latency targets of its class.
+
+    The target of the token gap applies to the mean gap of the answer.
+    """
     if record["outcome"] != COMPLETED or record["first_token_s"] is None:
         return False
-    limit = limits[record["class_name"]]
-    if record["first_token_s"] - record["at_s"] > limit.first_token_s:
+    targets = targets_by_class[record["class_name"]]
+    if record["first_token_s"] - record["at_s"] > targets.first_token_s:
         return False
     if record["tokens"] < 2 or record["ended_s"] is None:
         return True
     streamed_s = record["ended_s"] - record["first_token_s"]
-    return streamed_s / (record["tokens"] - 1) <= limit.gap_s
+    return streamed_s / (record["tokens"] - 1) <= targets.gap_s
 
 
-def measure_share_in_target(
-    records: Sequence[LoadRecord], limits: Mapping[str, Limits]
+def compute_in_target_share(
+    records: Sequence[LoadRecord], targets_by_class: Mapping[str, LatencyTargets]
 ) -> float | None:
-    """Return the share of the requests answered whole and in time."""
+    """Return the share of requests that completed within their latency targets."""
     if not records:
         return None
-    kept = sum(is_in_target(record, limits) for record in records)
-    return round(kept / len(records), 4)
+    in_target_count = sum(is_in_target(record, targets_by_class) for record in records)
+    return round(in_target_count / len(records), 4)
 
 
 def measure_goodput(
-    records: Iterable[LoadRecord], limits: Mapping[str, Limits], window: Window
+    records: Iterable[LoadRecord],
+    targets_by_class: Mapping[str, LatencyTargets],
+    window: Window,
 ) -> float:
-    """Return the tokens a second, in a window, of requests in target."""
+    """Return the tokens per second in a window that belong to requests in target."""
     tokens = sum(
-        _count_tokens(record, window)
+        _count_window_tokens(record, window)
         for record in records
-        if is_in_target(record, limits)
+        if is_in_target(record, targets_by_class)
     )
     return round(tokens / window.length_s, 1)
 
 
-def measure_service(
+def measure_served_tokens(
     records: Iterable[LoadRecord], window: Window, names: Iterable[str]
 ) -> dict[str, int]:
-    """Return the tokens that each workspace received in a window."""
+    """Return the number of tokens that each named workspace received in a window."""
     served = dict.fromkeys(names, 0)
     for record in records:
         if record["workspace"] in served:
-            served[record["workspace"]] += _count_tokens(record, window)
+            served[record["workspace"]] += _count_window_tokens(record, window)
     return served
 
 
-def compute_jain(values: Sequence[float]) -> float | None:
-    """Return Jain's index of the values; 1 when they are equal."""
+def compute_jain_index(values: Sequence[float]) -> float | None:
+    """Return Jain's fairness index: 1 if all values are equal; None if all are 0."""
     squares = sum(value**2 for value in values)
     if not squares:
         return None
@@ -125,39 +132,43 @@
 
 
 def find_backlogged(demands: Mapping[str, float], capacity: float) -> list[str]:
-    """Return those whose demand is over their max-min fair share.
+    """Return the workspaces whose demand exceeds their max-min fair share.
 
     Parameters
     ----------
     demands : mapping of str to float
-        In the unit of `capacity`.
+        Demand of each workspace, in the unit of `capacity`.
     capacity : float
+        Total to be shared.
     """
-    left = capacity
-    waiting = sorted(demands, key=demands.__getitem__)
-    while waiting and demands[waiting[0]] <= left / len(waiting):
-        left -= demands[waiting.pop(0)]
-    return waiting
+    remaining = capacity
+    unsatisfied = sorted(demands, key=demands.__getitem__)
+    while unsatisfied and demands[unsatisfied[0]] <= remaining / len(unsatisfied):
+        remaining -= demands[unsatisfied.pop(0)]
+    return unsatisfied
 
 
 def measure_recovery_s(
     records: Sequence[LoadRecord],
-    limits: Mapping[str, Limits],
+    targets_by_class: Mapping[str, LatencyTargets],
     *,
     fault_s: float,
     end_s: float,
 ) -> float | None:
-    """Return how long after a fault arrivals stay in target again, seconds.
+    """Return the time from a fault until arrivals are permanently in target, seconds.
 
-    The end of the last step of `RECOVERY_STEP_S` in which fewer than
-    `TARGET_SHARE` of the arrivals were in target; None when that never ended.
+    Divides the time after the fault into steps of `RECOVERY_STEP_S`. Recovery is
+    the end of the last step in which less than `RECOVERED_IN_TARGET_SHARE` of the
+    arrivals were in target. Returns None if that step reaches `end_s`.
     """
     recovered_s = 0.0
     begin_s = fault_s
     while begin_s < end_s:
         window = Window(begin_s, begin_s + RECOVERY_STEP_S)
-        share = measure_share_in_target(select(records, window), limits)
-        if share is not None and share < TARGET_SHARE:
+        share = compute_in_target_share(
+            select_records(records, window), targets_by_class
+        )
+        if share is not None and share < RECOVERED_IN_TARGET_SHARE:
             recovered_s = window.end_s - fault_s
         begin_s += RECOVERY_STEP_S
     return recovered_s if fault_s + recovered_s < end_s else None
@@ -167,7 +178,10 @@
     results: Sequence[Mapping[str, object]],
     combine: Callable[[Iterable[float]], float] = statistics.median,
 ) -> dict[str, object]:
-    """Return the median of each figure over several seeds."""
+    """Return the median of each figure over several seeds.
+
+    Figures that are not numbers are copied from the first result.
+    """
     merged: dict[str, object] = {}
     for key in results[0]:
         values = [result[key] for result in results if result[key] is not None]
@@ -176,7 +190,7 @@
     return merged
 
 
-def _count_tokens(record: LoadRecord, window: Window) -> int:
+def _count_window_tokens(record: LoadRecord, window: Window) -> int:
     return sum(
         count
         for at_s, count in record["token_times"]
--- a/packages/standins/src/ebonyhaven_standins/bench/_load_plans.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_load_plans.py
@@ -1,4 +1,4 @@
-"""Requests of the load scenarios, drawn from a seed."""
+"""Request plans of the load scenarios, generated from a seeded random source."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from ebonyhaven_standins.bench._open_loop import PlannedRequest
 from ebonyhaven_standins.scenario import ANALYSIS, LOOK_UP
 
-ANALYSIS_TOKENS = (60, 180)
-ANALYSIS_CHARACTERS = (1200, 3600)
-LOOK_UP_TOKENS = (8, 24)
+ANALYSIS_TOKENS_RANGE = (60, 180)
+ANALYSIS_CHARACTERS_RANGE = (1200, 3600)
+LOOK_UP_TOKENS_RANGE = (8, 24)
 LOOK_UP_CHARACTERS = 160
-LOOK_UP_PATIENCE_S = 0.5
-ANALYSIS_PATIENCE_S = 5.0
-SHARED_CHARACTERS = 512
-INSTANCES = 6
+LOOK_UP_RETRY_WINDOW_S = 0.5
+ANALYSIS_RETRY_WINDOW_S = 5.0
+SHARED_PREFIX_CHARACTERS = 512
+INSTANCE_COUNT = 6
 
-WORKSPACE_LOADS: Mapping[str, float] = {
+WORKSPACE_LOAD_SHARES: Mapping[str, float] = {
     "large-a": 0.30,
     "large-b": 0.20,
     "large-c": 0.15,
@@ -29,29 +29,33 @@
     "small-b": 0.0167,
     "small-c": 0.0166,
 }
-"""Share of the load that each workspace sends; fairness is about their service."""
+"""Share of the offered load that each workspace sends.
+
+Fairness compares the tokens that the workspaces receive, not these shares.
+"""
 
 
 def plan_look_ups(
-    rate_per_s: float, *, begin_s: float, end_s: float, source: random.Random
+    rate_per_s: float, *, begin_s: float, end_s: float, rng: random.Random
 ) -> list[PlannedRequest]:
-    """Return look-ups of all workspaces at a mean rate.
+    """Return look-ups with Poisson arrivals, each of a random workspace.
 
     Parameters
     ----------
     rate_per_s : float
+        Mean rate of all workspaces together.
     begin_s, end_s : float
         Seconds after the start.
-    source : random.Random
+    rng : random.Random
 
     Returns
     -------
     list of PlannedRequest
     """
-    names = list(WORKSPACE_LOADS)
+    names = list(WORKSPACE_LOAD_SHARES)
     return [
-        _plan_look_up(at_s, source.choice(names), source)
-        for at_s in _draw_times(rate_per_s, begin_s, end_s, source)
+        _plan_look_up(at_s, rng.choice(names), rng)
+        for at_s in _draw_times(rate_per_s, begin_s, end_s, rng)
     ]
 
 
@@ -60,74 +64,74 @@
     *,
     begin_s: float,
     end_s: float,
-    source: random.Random,
-    loads: Mapping[str, float] = WORKSPACE_LOADS,
+    rng: random.Random,
+    workspace_shares: Mapping[str, float] = WORKSPACE_LOAD_SHARES,
 ) -> list[PlannedRequest]:
-    """Return analyses that ask for a mean number of output tokens a second.
+    """Return analyses with Poisson arrivals at a mean rate of requested tokens.
 
     Parameters
     ----------
     tokens_per_s : float
-        Of all workspaces together.
+        Mean of the requested output tokens per second of all workspaces together.
     begin_s, end_s : float
         Seconds after the start.
-    source : random.Random
-    loads : mapping of str to float
-        Share of each workspace.
+    rng : random.Random
+    workspace_shares : mapping of str to float
+        Share of `tokens_per_s` that each workspace requests.
 
     Returns
     -------
     list of PlannedRequest
     """
-    mean_tokens = sum(ANALYSIS_TOKENS) / 2
+    mean_tokens = sum(ANALYSIS_TOKENS_RANGE) / 2
     planned = []
-    for name, share in loads.items():
+    for name, share in workspace_shares.items():
         rate = tokens_per_s * share / mean_tokens
-        for at_s in _draw_times(rate, begin_s, end_s, source):
-            planned.append(_plan_analysis(at_s, name, source))
+        for at_s in _draw_times(rate, begin_s, end_s, rng):
+            planned.append(_plan_analysis(at_s, name, rng))
     return planned
 
 
 def _draw_times(
-    rate_per_s: float, begin_s: float, end_s: float, source: random.Random
+    rate_per_s: float, begin_s: float, end_s: float, rng: random.Random
 ) -> list[float]:
     times = []
-    at_s = begin_s + source.expovariate(rate_per_s)
+    at_s = begin_s + rng.expovariate(rate_per_s)
     while at_s < end_s:
         times.append(at_s)
-        at_s += source.expovariate(rate_per_s)
+        at_s += rng.expovariate(rate_per_s)
     return times
 
 
-def _plan_look_up(at_s: float, name: str, source: random.Random) -> PlannedRequest:
+def _plan_look_up(at_s: float, name: str, rng: random.Random) -> PlannedRequest:
     return PlannedRequest(
         at_s=at_s,
         workspace=name,
         class_name=LOOK_UP,
-        prompt=_write_prompt(name, "look-up", LOOK_UP_CHARACTERS, source),
-        max_tokens=source.randint(*LOOK_UP_TOKENS),
-        instance=source.randrange(INSTANCES),
-        patience_s=LOOK_UP_PATIENCE_S,
+        prompt=_make_prompt(name, "look-up", LOOK_UP_CHARACTERS, rng),
+        max_tokens=rng.randint(*LOOK_UP_TOKENS_RANGE),
+        instance=rng.randrange(INSTANCE_COUNT),
+        retry_window_s=LOOK_UP_RETRY_WINDOW_S,
     )
 
 
-def _plan_analysis(at_s: float, name: str, source: random.Random) -> PlannedRequest:
-    length = source.randint(*ANALYSIS_CHARACTERS)
+def _plan_analysis(at_s: float, name: str, rng: random.Random) -> PlannedRequest:
+    length = rng.randint(*ANALYSIS_CHARACTERS_RANGE)
     return PlannedRequest(
         at_s=at_s,
         workspace=name,
         class_name=ANALYSIS,
-        prompt=_write_prompt(name, "analysis", length, source),
-        max_tokens=source.randint(*ANALYSIS_TOKENS),
-        instance=source.randrange(INSTANCES),
-        patience_s=ANALYSIS_PATIENCE_S,
+        prompt=_make_prompt(name, "analysis", length, rng),
+        max_tokens=rng.randint(*ANALYSIS_TOKENS_RANGE),
+        instance=rng.randrange(INSTANCE_COUNT),
+        retry_window_s=ANALYSIS_RETRY_WINDOW_S,
     )
 
 
-def _write_prompt(name: str, kind: str, length: int, source: random.Random) -> str:
-    """Return a prompt whose head is shared by all of a workspace's prompts."""
-    head = f"Rules of {name} for each {kind}. ".ljust(
-        min(SHARED_CHARACTERS, length // 2), "."
+def _make_prompt(name: str, kind: str, length: int, rng: random.Random) -> str:
+    """Return a prompt whose prefix is shared by its workspace and kind."""
+    prefix = f"Rules of {name} for each {kind}. ".ljust(
+        min(SHARED_PREFIX_CHARACTERS, length // 2), "."
     )
-    body = f" File {source.getrandbits(48):012x}. "
-    return (head + body).ljust(length, "-")
+    body = f" File {rng.getrandbits(48):012x}. "
+    return (prefix + body).ljust(length, "-")
--- a/packages/standins/src/ebonyhaven_standins/bench/_loss_measures.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_loss_measures.py
@@ -1,4 +1,4 @@
-"""Resume latencies after one loss, and their floor."""
+"""Resume latencies of streams after a loss, and the lowest achievable latencies."""
 
 from __future__ import annotations
 
@@ -10,23 +10,27 @@
 from ebonyhaven_standins.caller import COMPLETED, ReceivedToken, RequestRecord
 from ebonyhaven_standins.checker import LogLine, summarize_latencies
 
-# Tokens that were on their way at the loss arrive within this time after it.
-IN_FLIGHT_S = 0.05
+# Tokens received within this time after the loss were in flight when it occurred.
+IN_FLIGHT_GRACE_S = 0.05
+# Default speed of the engine stand-in, from which the floor is computed.
 PREFILL_TOKENS_PER_S = 4000.0
 STEP_S = 0.02
 
 
 class LossEvent(NamedTuple):
-    """What was lost at a time.
+    """Loss of an engine, an instance or both.
 
     Parameters
     ----------
     time : float
         Seconds since the epoch.
-    engine, address : str
-        Backend server and caller address of the instance; empty if spared.
+    engine : str
+        Name of the backend server that was lost or whose connections became
+        silent; empty if none.
+    address : str
+        Caller address of the lost instance; empty if none was lost.
     is_silent : bool
-        Whether nothing tells of the loss but silence.
+        Whether connections stay open, so that only missing data shows the loss.
     """
 
     time: float
@@ -36,7 +40,10 @@
 
 
 class ResumeSample(NamedTuple):
-    """Resume of one stream, in seconds; latency is None if it never resumed."""
+    """Resume latency of one stream and its floor, seconds.
+
+    ``latency_s`` is None if the stream never resumed.
+    """
 
     request_class: str
     latency_s: float | None
@@ -44,7 +51,7 @@
 
 
 class ResumeSummary(NamedTuple):
-    """Quantiles in seconds of the resumes of one class."""
+    """Quantiles of the resume latencies of one class and of their floors, seconds."""
 
     count: int
     unresumed: int
@@ -55,47 +62,47 @@
     floor_p95: float
 
     @property
-    def over_floor(self) -> float:
-        """95th percentile as a multiple of the floor's."""
+    def p95_to_floor_ratio(self) -> float:
+        """Ratio of the 95th percentiles of latency and floor; 0 if the floor is 0."""
         return self.p95 / self.floor_p95 if self.floor_p95 else 0.0
 
 
 def measure_resumes(
-    chains: Sequence[Sequence[RequestRecord]],
+    attempts_by_request: Sequence[Sequence[RequestRecord]],
     loss: LossEvent,
     lines: Sequence[LogLine],
     targets_s: dict[str, float],
 ) -> list[ResumeSample]:
-    """Return the resumes of the streams that a loss hit.
+    """Return the resume latencies of the streams that a loss interrupted.
 
     Parameters
     ----------
-    chains : sequence of sequence of RequestRecord
-        Each request's records: one, or several where the caller began again.
+    attempts_by_request : sequence of sequence of RequestRecord
+        Records of each request, one per submission by its caller.
     loss : LossEvent
     lines : sequence of LogLine
-        Execution logs in order of time.
+        Lines of the execution logs, ordered by time.
     targets_s : dict of str to float
-        Resume target of each class in seconds.
+        Resume target of each class, seconds.
 
     Returns
     -------
     list of ResumeSample
     """
     samples = []
-    for chain in chains:
-        held = _list_held(chain[0], loss)
-        if held and _is_hit(chain[0], held[-1], loss):
-            name = chain[0]["request_class"]
-            resumed = _find_resume(chain, len(held), loss)
-            latency = resumed.time - loss.time if resumed else None
-            floor = _derive_floor(chain[0], loss, lines, targets_s[name])
-            samples.append(ResumeSample(name, latency, floor))
+    for attempts in attempts_by_request:
+        received = _list_received(attempts[0], loss)
+        if received and _is_affected(attempts[0], received[-1], loss):
+            class_name = attempts[0]["request_class"]
+            resumed = _find_resume(attempts, len(received), loss)
+            latency_s = resumed.time - loss.time if resumed else None
+            floor_s = _compute_floor_s(attempts[0], loss, lines, targets_s[class_name])
+            samples.append(ResumeSample(class_name, latency_s, floor_s))
     return samples
 
 
 def summarize_resumes(samples: Sequence[ResumeSample]) -> ResumeSummary:
-    """Return the quantiles of samples.
+    """Return the quantiles of the samples of one class.
 
     Parameters
     ----------
@@ -119,14 +126,14 @@
     )
 
 
-def _list_held(record: RequestRecord, loss: LossEvent) -> list[ReceivedToken]:
-    end = loss.time + IN_FLIGHT_S
-    return [token for token in record["tokens"] if token.time <= end]
+def _list_received(record: RequestRecord, loss: LossEvent) -> list[ReceivedToken]:
+    latest = loss.time + IN_FLIGHT_GRACE_S
+    return [token for token in record["tokens"] if token.time <= latest]
 
 
-def _is_hit(record: RequestRecord, last: ReceivedToken, loss: LossEvent) -> bool:
+def _is_affected(record: RequestRecord, last: ReceivedToken, loss: LossEvent) -> bool:
     if record["outcome"] == COMPLETED and record["finished_at"] <= (
-        loss.time + IN_FLIGHT_S
+        loss.time + IN_FLIGHT_GRACE_S
     ):
         return False
     address = record["connections"][last.connection]["address"]
@@ -134,23 +141,27 @@
 
 
 def _find_resume(
-    chain: Sequence[RequestRecord], held: int, loss: LossEvent
+    attempts: Sequence[RequestRecord], received_count: int, loss: LossEvent
 ) -> ReceivedToken | None:
-    for record in chain:
+    for record in attempts:
         for token in record["tokens"]:
-            if token.offset >= held and token.time > loss.time:
+            if token.offset >= received_count and token.time > loss.time:
                 return token
     return None
 
 
-def _derive_floor(
+def _compute_floor_s(
     record: RequestRecord,
     loss: LossEvent,
     lines: Sequence[LogLine],
     target_s: float,
 ) -> float:
-    prefill = _find_continued_prefill(record, loss, lines)
-    compute_s = 0.0 if prefill is None else prefill / PREFILL_TOKENS_PER_S + STEP_S
+    prefill_tokens = _find_continuation_prefill_tokens(record, loss, lines)
+    compute_s = (
+        0.0
+        if prefill_tokens is None
+        else prefill_tokens / PREFILL_TOKENS_PER_S + STEP_S
+    )
     if not loss.is_silent:
         return compute_s + STEP_S
     plan = plan_resume(
@@ -159,19 +170,22 @@
     return plan.suspect_after_s + compute_s
 
 
-def _find_continued_prefill(
+def _find_continuation_prefill_tokens(
     record: RequestRecord, loss: LossEvent, lines: Sequence[LogLine]
 ) -> int | None:
-    """Return the tokens that the continuation prefilled, None if there was none."""
-    own = [
+    """Return the prefill tokens of the continuation.
+
+    None if there was no continuation, 0 if it logged no token count.
+    """
+    request_lines = [
         line
         for line in lines
         if line.time > loss.time and line.origin.startswith(record["prompt_origin"])
     ]
-    started = next((line for line in own if line.event == "continue"), None)
+    started = next((line for line in request_lines if line.event == "continue"), None)
     if started is None:
         return None
-    for line in own:
+    for line in request_lines:
         same_run = line.server == started.server and line.time > started.time
         if same_run and line.event == "token_count":
             return line.prefill_tokens
--- a/packages/standins/src/ebonyhaven_standins/bench/_losses.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_losses.py
@@ -1,4 +1,4 @@
-"""Resume latency and extra resource use after the loss of one part."""
+"""Resume latency and extra resource use after the loss of an engine or instance."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from twisted.internet import task
 
-from ebonyhaven_standins.bench._catalogue import BenchScenario, Size
+from ebonyhaven_standins.bench._bench_scenario import BenchScenario, Size
 from ebonyhaven_standins.bench._loss_measures import (
     LossEvent,
     ResumeSample,
@@ -39,17 +39,16 @@
 STREAM_TOKENS = 250
 LOSS_S = 3.0
 ARRIVAL_SPAN_S = 1.0
-STREAMS_A_CLASS = 18
-ENGINES = 6
+STREAMS_PER_CLASS = 18
+ENGINE_COUNT = 6
 DATA_CENTRES = ("dc-a", "dc-b", "dc-c")
 WORKSPACES = ("studio-a", "studio-b", "licences")
-# Characters of a prompt, least and most.
-PROMPT_CHARS = {LOOK_UP: (200, 800), ANALYSIS: (4000, 8000)}
-MODES = ("continue", "restart")
+PROMPT_CHARACTERS_RANGE = {LOOK_UP: (200, 800), ANALYSIS: (4000, 8000)}
+RESUME_MODES = ("continue", "restart")
 
 
 class Loss(enum.StrEnum):
-    """What is lost; the value names the scenario."""
+    """Kind of loss; the value is the name of the scenario."""
 
     ENGINE_KILLED = "engine-killed"
     ENGINE_PAUSED = "engine-paused"
@@ -59,16 +58,18 @@
 
 
 class TrialResult(NamedTuple):
-    """Measures of one deployment with one loss."""
+    """Measurements of one deployment with one loss."""
 
     samples: list[ResumeSample]
     extra_resource_ratio: float
-    span_s: float
-    broken: int
+    duration_s: float
+    violation_count: int
 
 
 class LossScenario(BenchScenario):
-    """Measures one kind of loss, beside the baseline that begins again.
+    """Measures one kind of loss, with continuation and with restart of streams.
+
+    Restart is the baseline: callers resubmit incomplete requests under a new key.
 
     Parameters
     ----------
@@ -82,16 +83,16 @@
     async def run(self, reactor: Any, size: Size) -> dict[str, Any]:
         """See `BenchScenario.run`."""
         results: dict[str, list[TrialResult]] = {}
-        for mode in MODES:
+        for mode in RESUME_MODES:
             results[mode] = [
                 await run_trial(reactor, self._loss, mode, size, seed)
                 for seed in SEEDS[size]
             ]
-        # The baseline sends one content under several keys, which the checker
-        # cannot tell apart: what it finds there is shown and not counted.
-        broken = sum(item.broken for item in results["continue"])
-        summaries = {mode: _summarize(results[mode]) for mode in MODES}
-        return {"seeds": len(SEEDS[size]), "broken": broken, **summaries}
+        # The baseline resubmits the same content under several keys, which the
+        # checker cannot distinguish; its violations are printed but not counted.
+        violation_count = sum(item.violation_count for item in results["continue"])
+        summaries = {mode: _summarize(results[mode]) for mode in RESUME_MODES}
+        return {"seeds": len(SEEDS[size]), "broken": violation_count, **summaries}
 
 
 async def run_trial(
@@ -108,6 +109,7 @@
         Value of the node's setting ``resume``.
     size : Size
     seed : int
+        Seed of the deployment and the requests.
 
     Returns
     -------
@@ -133,48 +135,55 @@
             scenario=scenario,
         )
         evidence = await runner.run()
-        await injector.wait_for_return(reactor)
+        await injector.wait_until_resumed(reactor)
     report = check(evidence)
     classes = deployment.make_declaration()["classes"]
     targets_s = {name: item["resume_ms"] / 1000 for name, item in classes.items()}
-    samples = measure_resumes(runner.chains, injector.event, evidence.lines, targets_s)
+    samples = measure_resumes(
+        runner.attempts_by_request, injector.event, evidence.lines, targets_s
+    )
     for violation in report.violations:
         print(f"broken: {violation.kind} {violation.subject}: {violation.detail}")
     return TrialResult(
         samples,
         report.extra_resource_ratio,
-        _measure_span_s(evidence),
+        _measure_duration_s(evidence),
         len(report.violations),
     )
 
 
 class LossInjector:
-    """Causes a loss where most streams are hit.
+    """Injects a loss at the engine or instance with the most streams.
 
     Parameters
     ----------
     loss : Loss
     pause_s : float
-        Time after which a paused engine returns.
+        Time after which a paused engine is resumed, seconds.
+
+    Attributes
+    ----------
+    event : LossEvent or None
+        None until the loss has been injected.
     """
 
     def __init__(self, loss: Loss, pause_s: float):
         self._loss = loss
         self._pause_s = pause_s
-        self._return = None
+        self._resume_call = None
         self.event: LossEvent | None = None
 
     def inject(self, runner: RestartingRunner) -> None:
-        """Cause the loss.
+        """Inject the loss and record it in `event`.
 
         Parameters
         ----------
         runner : RestartingRunner
         """
         loss = self._loss
-        hits_instance = loss in (Loss.INSTANCE_KILLED, Loss.ENGINE_AND_INSTANCE)
+        affects_instance = loss in (Loss.INSTANCE_KILLED, Loss.ENGINE_AND_INSTANCE)
         engine = "" if loss is Loss.INSTANCE_KILLED else runner.find_busiest_engine()
-        instance = runner.find_busiest_instance() if hits_instance else ""
+        instance = runner.find_busiest_instance() if affects_instance else ""
         address = runner.cluster.addresses[instance] if instance else ""
         is_silent = loss in (Loss.ENGINE_PAUSED, Loss.CONNECTION_SILENT)
         self.event = LossEvent(time.time(), engine, address, is_silent)
@@ -189,20 +198,20 @@
             runner.timeline.add(TimelineKind.INSTANCE_KILLED, address)
             runner.cluster.kill(instance)
 
-    async def wait_for_return(self, reactor: Any) -> None:
-        """Wait until a paused engine has returned.
+    async def wait_until_resumed(self, reactor: Any) -> None:
+        """Wait until a paused engine has been resumed.
 
         Parameters
         ----------
         reactor : object
             Twisted reactor.
         """
-        while self._return is not None and self._return.active():
+        while self._resume_call is not None and self._resume_call.active():
             await task.deferLater(reactor, 0.1)
 
     def _pause(self, runner: RestartingRunner, engine: str) -> None:
         runner.cluster.pause(engine)
-        self._return = runner.call_later(
+        self._resume_call = runner.call_later(
             self._pause_s, lambda: runner.cluster.resume(engine)
         )
 
@@ -222,7 +231,7 @@
     """
     engines = [
         ServerSpec(name=f"s{number + 1:02d}", data_centre=DATA_CENTRES[number % 3])
-        for number in range(ENGINES)
+        for number in range(ENGINE_COUNT)
     ]
     return Deployment(
         region="r1",
@@ -236,13 +245,13 @@
 
 
 def make_arrivals(seed: int, tokens: int) -> list[Arrival]:
-    """Return streams of both classes that begin within a second.
+    """Return streams of both classes that arrive within `ARRIVAL_SPAN_S`.
 
     Parameters
     ----------
     seed : int
     tokens : int
-        Length of each answer.
+        Length of each answer in tokens.
 
     Returns
     -------
@@ -255,30 +264,33 @@
             CompletionRequest(
                 workspace=generator.choice(WORKSPACES),
                 request_class=name,
-                prompt=make_prompt(generator, *PROMPT_CHARS[name]),
+                prompt=make_prompt(generator, *PROMPT_CHARACTERS_RANGE[name]),
                 max_tokens=tokens,
             ),
         )
         for name in (LOOK_UP, ANALYSIS)
-        for _ in range(STREAMS_A_CLASS)
+        for _ in range(STREAMS_PER_CLASS)
     ]
 
 
-def make_prompt(generator: random.Random, least: int, most: int) -> str:
-    """Return a prompt that no other shares, of least to most characters.
+def make_prompt(
+    generator: random.Random, min_characters: int, max_characters: int
+) -> str:
+    """Return a unique prompt of random length.
 
     Parameters
     ----------
     generator : random.Random
-    least, most : int
+    min_characters, max_characters : int
+        Range of the length.
 
     Returns
     -------
     str
     """
-    length = generator.randint(least, most)
-    head = f"File {generator.getrandbits(64):016x}: "
-    return (head + "the stall plan shows a tree pit and a gas bottle; " * length)[
+    length = generator.randint(min_characters, max_characters)
+    prefix = f"File {generator.getrandbits(64):016x}: "
+    return (prefix + "the stall plan shows a tree pit and a gas bottle; " * length)[
         :length
     ]
 
@@ -293,17 +305,20 @@
         figures = summarize_resumes(samples)
         summary[name] = {
             **{key: _round(value) for key, value in figures._asdict().items()},
-            "p95_over_floor": round(figures.over_floor, 2),
+            "p95_over_floor": round(figures.p95_to_floor_ratio, 2),
         }
     ratios = [item.extra_resource_ratio for item in results]
     summary["extra_resource_ratio"] = round(statistics.mean(ratios), 4)
-    a_minute = [item.extra_resource_ratio * item.span_s / 60.0 for item in results]
-    summary["extra_at_one_loss_a_minute"] = round(statistics.mean(a_minute), 4)
+    # One loss occurred per trial; the ratios are scaled to one loss per minute.
+    scaled_ratios = [
+        item.extra_resource_ratio * item.duration_s / 60.0 for item in results
+    ]
+    summary["extra_at_one_loss_a_minute"] = round(statistics.mean(scaled_ratios), 4)
     return summary
 
 
-def _measure_span_s(evidence: Evidence) -> float:
-    """Return the time in which the requests ran, seconds."""
+def _measure_duration_s(evidence: Evidence) -> float:
+    """Return the time from the first request's start to the last one's end, seconds."""
     ends = [record["finished_at"] for record in evidence.records]
     return max(ends) - min(record["started_at"] for record in evidence.records)
 
--- a/packages/standins/src/ebonyhaven_standins/bench/_membership_measures.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_membership_measures.py
@@ -1,4 +1,4 @@
-"""Measurements on a set of instances: quiet cost, detection, wrong suspicions."""
+"""Measurements of membership: idle cost, detection time and false suspicions."""
 
 from __future__ import annotations
 
@@ -22,13 +22,16 @@
 
 
 class Usage(NamedTuple):
-    """Counters of one process at one time.
+    """Resource counters of one process at a point in time.
 
     Parameters
     ----------
     cpu_s : float
+        Processor time since the start of the process, seconds.
     resident_mb : float
+        Resident memory in megabytes.
     sent_messages, received_messages, sent_bytes, received_bytes : float
+        Totals of the control protocol.
     """
 
     cpu_s: float
@@ -39,8 +42,12 @@
     received_bytes: float
 
 
-class QuietCost(TypedDict):
-    """Cost of a process while nothing happens; means over all processes."""
+class IdleCost(TypedDict):
+    """Cost of a process without requests and faults; means over all processes.
+
+    ``cpu_share`` is processor time per second, ``cpu_share_max`` its maximum over
+    the processes.
+    """
 
     size: int
     cpu_share: float
@@ -53,7 +60,11 @@
 
 
 class Detection(TypedDict):
-    """Time from a kill until the other instances stop offering the victim."""
+    """Time from a kill until each other instance marks the killed one suspect or dead.
+
+    ``observations`` counts instances that did so within `DETECTION_WAIT_S`,
+    ``missed`` those that did not.
+    """
 
     size: int
     observations: int
@@ -64,11 +75,11 @@
 
 
 class FalseSuspicions(TypedDict):
-    """Changes seen under loss and pauses.
+    """False suspicions under message loss and pauses.
 
-    ``wrong_suspect`` and ``wrong_dead`` count changes about an instance that
-    was not paused, as any instance logged them; ``not_returned`` counts pairs
-    that still disagreed at the end.
+    ``wrong_suspect`` and ``wrong_dead`` count the changes to these states that any
+    instance logged about an instance that was not paused; ``not_returned`` counts
+    pairs of instances of which one did not regard the other as live at the end.
     """
 
     size: int
@@ -79,14 +90,16 @@
     not_returned: int
 
 
-class Change(NamedTuple):
-    """One logged change of the state of an instance.
+class StateChange(NamedTuple):
+    """Change of the state of an instance, as logged by another one.
 
     Parameters
     ----------
-    observer, subject, state : str
+    observer, subject : str
+        Names of the instance that logged the change and the one that it is about.
+    state : str
     at : float
-        Wall clock in seconds.
+        Seconds since the epoch.
     """
 
     observer: str
@@ -96,7 +109,7 @@
 
 
 def read_usage(nodes: NodeSet, name: str) -> Usage:
-    """Return the counters of a process.
+    """Return the resource counters of a process.
 
     Parameters
     ----------
@@ -125,8 +138,8 @@
     )
 
 
-def read_changes(nodes: NodeSet, names: Iterable[str]) -> list[Change]:
-    """Return the changes that processes logged.
+def read_state_changes(nodes: NodeSet, names: Iterable[str]) -> list[StateChange]:
+    """Return the state changes that instances logged.
 
     Parameters
     ----------
@@ -135,7 +148,7 @@
 
     Returns
     -------
-    list of Change
+    list of StateChange
     """
     changes = []
     for name in names:
@@ -143,7 +156,7 @@
             if '"instance_changed"' in line:
                 entry = json.loads(line)
                 changes.append(
-                    Change(name, entry["peer"], entry["state"], _read_time(entry))
+                    StateChange(name, entry["peer"], entry["state"], _read_time(entry))
                 )
     return changes
 
@@ -155,8 +168,8 @@
     return timestamp
 
 
-def measure_quiet(nodes: NodeSet, seconds: float) -> QuietCost:
-    """Measure the cost while nothing happens.
+def measure_idle_cost(nodes: NodeSet, seconds: float) -> IdleCost:
+    """Measure the cost of the instances without requests and faults.
 
     Parameters
     ----------
@@ -166,7 +179,7 @@
 
     Returns
     -------
-    QuietCost
+    IdleCost
     """
     started = time.monotonic()
     before = [read_usage(nodes, name) for name in nodes.names]
@@ -177,7 +190,7 @@
         Usage(*((b - a) / took_s for a, b in zip(first, last, strict=True)))
         for first, last in zip(before, after, strict=True)
     ]
-    return QuietCost(
+    return IdleCost(
         size=len(nodes.names),
         cpu_share=statistics.fmean(rate.cpu_s for rate in rates),
         cpu_share_max=max(rate.cpu_s for rate in rates),
@@ -190,12 +203,13 @@
 
 
 def measure_detection(nodes: NodeSet, kills: int, rng: random.Random) -> Detection:
-    """Kill instances one by one and measure when the others stop offering them.
+    """Kill instances one by one and measure how fast the others detect it.
 
     Parameters
     ----------
     nodes : NodeSet
     kills : int
+        Number of kills.
     rng : random.Random
 
     Returns
@@ -205,15 +219,17 @@
     delays: list[float] = []
     missed = 0
     for _ in range(kills):
-        victim = rng.choice(nodes.names)
-        others = [name for name in nodes.names if name != victim]
+        killed = rng.choice(nodes.names)
+        others = [name for name in nodes.names if name != killed]
         killed_at = time.time()
-        nodes.child(victim).kill()
+        nodes.child(killed).kill()
         time.sleep(DETECTION_WAIT_S)
-        first = _find_first_down(read_changes(nodes, others), victim, killed_at)
-        delays += first.values()
-        missed += len(others) - len(first)
-        nodes.restart(victim)
+        delay_by_observer = _find_detection_delays(
+            read_state_changes(nodes, others), killed, killed_at
+        )
+        delays += delay_by_observer.values()
+        missed += len(others) - len(delay_by_observer)
+        nodes.restart(killed)
         nodes.wait_for_agreement()
         time.sleep(rng.uniform(1.0, 2.0))
     delays.sort()
@@ -227,27 +243,29 @@
     )
 
 
-def _find_first_down(
-    changes: list[Change], victim: str, killed_at: float
+def _find_detection_delays(
+    changes: list[StateChange], killed: str, killed_at: float
 ) -> dict[str, float]:
-    first: dict[str, float] = {}
+    """Return the seconds from a kill to its detection, by observer."""
+    delay_by_observer: dict[str, float] = {}
     for change in changes:
-        down = change.subject == victim and change.state in DOWN_STATES
-        if down and change.at >= killed_at:
-            first.setdefault(change.observer, change.at - killed_at)
-    return first
+        is_down = change.subject == killed and change.state in DOWN_STATES
+        if is_down and change.at >= killed_at:
+            delay_by_observer.setdefault(change.observer, change.at - killed_at)
+    return delay_by_observer
 
 
 def measure_false_suspicions(
     nodes: NodeSet, seconds: float, rng: random.Random
 ) -> FalseSuspicions:
-    """Pause instances at random and count changes about those that ran.
+    """Pause instances at random and count false suspicions of the others.
 
     Parameters
     ----------
     nodes : NodeSet
-        Processes that lose messages.
+        Instances that drop a share of their control messages.
     seconds : float
+        Length of the measurement.
     rng : random.Random
 
     Returns
@@ -257,16 +275,16 @@
     started_at = time.time()
     pauses: list[tuple[str, float, float]] = []
     while time.time() - started_at < seconds:
-        victim = rng.choice(nodes.names)
+        paused = rng.choice(nodes.names)
         paused_at = time.time()
-        nodes.child(victim).pause()
+        nodes.child(paused).pause()
         time.sleep(PAUSE_S)
-        nodes.child(victim).resume()
-        pauses.append((victim, paused_at, time.time()))
+        nodes.child(paused).resume()
+        pauses.append((paused, paused_at, time.time()))
         time.sleep(PAUSE_INTERVAL_S - PAUSE_S)
     time.sleep(REJOIN_WAIT_S)
-    changes = [c for c in read_changes(nodes, nodes.names) if c.at >= started_at]
-    wrong = [change for change in changes if not _is_explained(change, pauses)]
+    changes = [c for c in read_state_changes(nodes, nodes.names) if c.at >= started_at]
+    wrong = [change for change in changes if not _is_expected(change, pauses)]
     count = len(nodes.names)
     return FalseSuspicions(
         size=count,
@@ -278,10 +296,11 @@
     )
 
 
-def _is_explained(change: Change, pauses: list[tuple[str, float, float]]) -> bool:
+def _is_expected(change: StateChange, pauses: list[tuple[str, float, float]]) -> bool:
     """Return whether a change is no suspicion or is about a paused instance.
 
-    An observer that was paused itself learns old news when it goes on.
+    A change counts as expected until the next pause begins: an observer that was
+    paused itself logs outdated states only after it has resumed.
     """
     if change.state not in DOWN_STATES:
         return True
--- a/packages/standins/src/ebonyhaven_standins/bench/_node_sets.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_node_sets.py
@@ -1,4 +1,4 @@
-"""Sets of instances that a measurement starts and steers."""
+"""Sets of node processes that measurements start, kill and restart."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 )
 from ebonyhaven_standins.metric_samples import MetricSamples
 
-CALL_TIMEOUT_S = 40.0
-AGREE_DEADLINE_S = 60.0
-AGREE_POLL_S = 0.2
+METRICS_TIMEOUT_S = 40.0
+AGREEMENT_TIMEOUT_S = 60.0
+AGREEMENT_POLL_INTERVAL_S = 0.2
 
 
 class NodeSet(abc.ABC):
-    """Instances of one deployment, by name; a context manager.
+    """Instances of one deployment; a context manager that stops them on exit.
 
     Parameters
     ----------
     count : int
-        They are named ``n0``, ``n1`` and so on.
+        Number of instances; they are named ``n0``, ``n1`` and so on.
     """
 
     def __init__(self, count: int):
@@ -47,7 +47,7 @@
 
     @abc.abstractmethod
     def restart(self, name: str) -> None:
-        """Start an instance that has ended, and wait until it is ready."""
+        """Start an instance that has exited, and wait until it is ready."""
 
     @abc.abstractmethod
     def child(self, name: str) -> ChildProcess:
@@ -58,18 +58,18 @@
         """Return the ``IP:PORT`` at which an instance answers HTTP."""
 
     def read_metrics(self, name: str) -> MetricSamples:
-        """Return a scrape of an instance.
+        """Return the current metrics of an instance.
 
         Parameters
         ----------
         name : str
         """
         url = f"http://{self.caller_address(name)}/metrics"
-        with urllib.request.urlopen(url, timeout=CALL_TIMEOUT_S) as answer:
+        with urllib.request.urlopen(url, timeout=METRICS_TIMEOUT_S) as answer:
             return MetricSamples(answer.read().decode())
 
     def count_live(self, name: str) -> int:
-        """Return how many instances one of them regards as live.
+        """Return the number of instances, itself included, that one regards as live.
 
         Parameters
         ----------
@@ -79,29 +79,29 @@
         return int(samples.sum("ebonyhaven_members", 'state="live"'))
 
     def wait_for_agreement(self) -> None:
-        """Block until each instance regards all as live.
+        """Block until each instance regards all instances as live.
 
         Raises
         ------
         TimeoutError
-            If that takes longer than ``AGREE_DEADLINE_S``.
+            After `AGREEMENT_TIMEOUT_S`.
         """
-        deadline = time.monotonic() + AGREE_DEADLINE_S
+        deadline = time.monotonic() + AGREEMENT_TIMEOUT_S
         count = len(self.names)
         while any(self.count_live(name) != count for name in self.names):
             if time.monotonic() > deadline:
-                raise TimeoutError("the instances do not agree")
-            time.sleep(AGREE_POLL_S)
+                raise TimeoutError("the instances do not regard each other as live")
+            time.sleep(AGREEMENT_POLL_INTERVAL_S)
 
 
 class ControlNodeSet(NodeSet):
-    """Processes with the control part alone.
+    """Processes that run only the control plane of a node.
 
     Parameters
     ----------
     count : int
     loss : float
-        Share of their messages that they drop.
+        Share of the control messages that each instance drops.
     """
 
     def __init__(self, count: int, *, loss: float = 0.0):
@@ -122,13 +122,13 @@
 
 
 class FullNodeSet(NodeSet):
-    """Whole nodes beside a platform.
+    """Complete node processes with a platform stand-in.
 
     Parameters
     ----------
     count : int
     loss : float
-        Share of their messages to each other that they drop.
+        Share of the control messages that each instance drops.
     """
 
     def __init__(self, count: int, *, loss: float = 0.0):
--- a/packages/standins/src/ebonyhaven_standins/bench/_open_loop.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_open_loop.py
@@ -1,6 +1,6 @@
-"""Load generator that sends requests at planned times, whatever comes back.
+"""Open-loop load generator: sends requests at planned times, regardless of responses.
 
-Run as a process of its own, ``python -m ebonyhaven_standins.bench._open_loop PLAN
+Run as a separate process, ``python -m ebonyhaven_standins.bench._open_loop PLAN
 OUT``, so that its work does not delay what it measures.
 """
 
@@ -22,16 +22,16 @@
 
 START_DELAY_S = 0.5
 CONNECT_TIMEOUT_S = 1.0
-SILENCE_S = 10.0
+SILENCE_TIMEOUT_S = 10.0
 TAIL_BYTES = 1024
-LAG_PERIOD_S = 0.05
+LAG_SAMPLE_INTERVAL_S = 0.05
 COMPLETED = "completed"
-ID_MARK = b"id: "
-TEXT_MARK = b'"text":"'
-EMPTY_TEXT_MARK = b'"text":""'
-END_MARK = b"[DONE]"
-ERROR_MARK = b"event: error"
-_LOST = (error.ConnectError, error.ConnectionLost, error.TimeoutError)
+ID_MARKER = b"id: "
+TEXT_MARKER = b'"text":"'
+EMPTY_TEXT_MARKER = b'"text":""'
+END_MARKER = b"[DONE]"
+ERROR_MARKER = b"event: error"
+_CONNECTION_ERRORS = (error.ConnectError, error.ConnectionLost, error.TimeoutError)
 
 
 class PlannedRequest(NamedTuple):
@@ -44,9 +44,10 @@
     workspace, class_name, prompt : str
     max_tokens : int
     instance : int
-        Index of the address that is used first.
-    patience_s : float
-        Time after `at_s` until which a refused request is sent again, seconds.
+        Index of the instance that receives the first attempt; each retry uses the
+        next one.
+    retry_window_s : float
+        Time after `at_s` within which a refused request is retried, seconds.
     """
 
     at_s: float
@@ -55,11 +56,14 @@
     prompt: str
     max_tokens: int
     instance: int
-    patience_s: float
+    retry_window_s: float
 
 
 class LoadRecord(TypedDict):
-    """What became of one request; times in seconds after the start."""
+    """Result of one request; times in seconds after the start.
+
+    ``token_times`` holds the time and the number of tokens of each chunk received.
+    """
 
     at_s: float
     workspace: str
@@ -76,7 +80,7 @@
 
 
 class _TokenCounter(Protocol):
-    """Counts the token events of one answer."""
+    """Counts and times the token events of one response."""
 
     def __init__(self, reactor: Any, record: LoadRecord, started_at: float) -> None:
         self._reactor = reactor
@@ -84,31 +88,31 @@
         self._started_at = started_at
         self._last_at: float | None = None
         self._tail = b""
-        self._silence = reactor.callLater(SILENCE_S, self._give_up)
+        self._silence_timer = reactor.callLater(SILENCE_TIMEOUT_S, self._abort)
         self.done: defer.Deferred[tuple[str, float | None]] = defer.Deferred()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self._silence.reset(SILENCE_S)
-        # The event of a position and the last event carry no token.
-        count = data.count(TEXT_MARK) - data.count(EMPTY_TEXT_MARK)
+        self._silence_timer.reset(SILENCE_TIMEOUT_S)
+        # The position event and the last event carry no token: their text is empty.
+        count = data.count(TEXT_MARKER) - data.count(EMPTY_TEXT_MARKER)
         if count:
-            self._note(count)
+            self._record_tokens(count)
             if not self._record["server"]:
-                self._record["server"] = _find_server(data)
+                self._record["server"] = _parse_server(data)
         self._tail = (self._tail + data)[-TAIL_BYTES:]
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        if self._silence.active():
-            self._silence.cancel()
+        if self._silence_timer.active():
+            self._silence_timer.cancel()
         if self.done.called:
             return
-        if ERROR_MARK in self._tail:
-            event = self._tail.partition(ERROR_MARK)[2].partition(b"data:")[2]
-            self.done.callback(read_refusal(event.partition(b"\n")[0]))
+        if ERROR_MARKER in self._tail:
+            event = self._tail.partition(ERROR_MARKER)[2].partition(b"data:")[2]
+            self.done.callback(parse_error_outcome(event.partition(b"\n")[0]))
         else:
-            self.done.callback((COMPLETED if END_MARK in self._tail else "cut", None))
+            self.done.callback((COMPLETED if END_MARKER in self._tail else "cut", None))
 
-    def _note(self, count: int) -> None:
+    def _record_tokens(self, count: int) -> None:
         now = self._reactor.seconds() - self._started_at
         record = self._record
         if record["first_token_s"] is None:
@@ -119,12 +123,12 @@
         record["tokens"] += count
         record["token_times"].append((round(now, 3), count))
 
-    def _give_up(self) -> None:
+    def _abort(self) -> None:
         self.transport.abortConnection()
 
 
-class OpenLoop:
-    """Sends a plan.
+class OpenLoopGenerator:
+    """Sends the requests of a plan at their planned times.
 
     Parameters
     ----------
@@ -133,6 +137,7 @@
     addresses : sequence of str
         ``IP:PORT`` of the instances.
     seed : int
+        Seed of the idempotency keys.
     """
 
     def __init__(self, reactor: Any, addresses: Sequence[str], seed: int) -> None:
@@ -143,14 +148,16 @@
         self._started_at = reactor.seconds() + START_DELAY_S
 
     async def run(self, plan: Sequence[PlannedRequest]) -> list[LoadRecord]:
-        """Send all requests and wait for their ends."""
+        """Send all requests, wait until they end and return their records."""
         sent = [
-            task.deferLater(self._reactor, START_DELAY_S + each.at_s, self._begin, each)
+            task.deferLater(
+                self._reactor, START_DELAY_S + each.at_s, self._start_request, each
+            )
             for each in plan
         ]
         return await defer.gatherResults(sent, consumeErrors=True)
 
-    def _begin(self, request: PlannedRequest) -> defer.Deferred[LoadRecord]:
+    def _start_request(self, request: PlannedRequest) -> defer.Deferred[LoadRecord]:
         return defer.Deferred.fromCoroutine(self._send(request))
 
     async def _send(self, request: PlannedRequest) -> LoadRecord:
@@ -164,7 +171,7 @@
             record["outcome"] = outcome
             if outcome != "refused" or retry_after_s is None or record["tokens"]:
                 break
-            if self._now() + retry_after_s > request.at_s + request.patience_s:
+            if self._now() + retry_after_s > request.at_s + request.retry_window_s:
                 break
             await task.deferLater(self._reactor, retry_after_s)
             instance += 1
@@ -177,9 +184,9 @@
         try:
             response = await self._post(address, request, key)
             if response.code != 200:
-                return read_refusal(await treq.content(response))
-        except (*_LOST, ResponseNeverReceived) as problem:
-            return f"lost: {type(problem).__name__}", None
+                return parse_error_outcome(await treq.content(response))
+        except (*_CONNECTION_ERRORS, ResponseNeverReceived) as failure:
+            return f"lost: {type(failure).__name__}", None
         counter = _TokenCounter(self._reactor, record, self._started_at)
         response.deliverBody(counter)
         return await counter.done
@@ -198,7 +205,7 @@
             "Ebonyhaven-Workspace": request.workspace,
             "Ebonyhaven-Class": request.class_name,
             "Idempotency-Key": key,
-            # Only a request that did not run is sent again.
+            # Only requests that did not run are retried.
             "Ebonyhaven-First-Submission": "yes",
         }
         return self._http.post(
@@ -212,8 +219,8 @@
         return self._reactor.seconds() - self._started_at
 
 
-def _find_server(data: bytes) -> str:
-    event_id = data.partition(ID_MARK)[2].partition(b"\n")[0]
+def _parse_server(data: bytes) -> str:
+    event_id = data.partition(ID_MARKER)[2].partition(b"\n")[0]
     return event_id.decode().partition("-")[2].partition("-")[2]
 
 
@@ -234,19 +241,20 @@
     }
 
 
-def read_refusal(content: bytes) -> tuple[str, float | None]:
-    """Return the outcome of a request that failed.
+def parse_error_outcome(content: bytes) -> tuple[str, float | None]:
+    """Return the outcome of a failed request from its error.
 
     Parameters
     ----------
     content : bytes
-        Body of an answer, or data of an error event.
+        Body of a response, or data of an error event.
 
     Returns
     -------
     tuple of str and float or None
-        ``refused`` for a request that did not run, with the seconds after which
-        it may be sent again.
+        Outcome, and the seconds after which the request may be retried.
+        ``refused`` stands for ``not_run``, ``malformed`` for an unreadable error.
+        Only ``refused`` has a delay.
     """
     try:
         outcome = json.loads(content)["error"]
@@ -258,23 +266,25 @@
 
 
 def main(reactor: Any, plan_path: str, out_path: str) -> defer.Deferred[None]:
-    """Send the plan of a file and write the records."""
+    """Send the plan of a file and write the records and the timer lag to a file."""
     plan = json.loads(pathlib.Path(plan_path).read_text())
     requests = [PlannedRequest(*each) for each in plan["requests"]]
-    loop = OpenLoop(reactor, plan["addresses"], plan["seed"])
+    generator = OpenLoopGenerator(reactor, plan["addresses"], plan["seed"])
     print("ready", flush=True)
 
     lags: list[float] = []
 
-    def note_lag(due_at: float) -> None:
+    def sample_lag(due_at: float) -> None:
         now = reactor.seconds()
         lags.append(now - due_at)
-        reactor.callLater(LAG_PERIOD_S, note_lag, now + LAG_PERIOD_S)
+        reactor.callLater(
+            LAG_SAMPLE_INTERVAL_S, sample_lag, now + LAG_SAMPLE_INTERVAL_S
+        )
 
-    note_lag(reactor.seconds())
+    sample_lag(reactor.seconds())
 
     async def send() -> None:
-        records = await loop.run(requests)
+        records = await generator.run(requests)
         ordered = sorted(lags)
         lag_s = ordered[int(0.95 * len(ordered))]
         content = {"records": records, "lag_p95_s": round(lag_s, 4)}
--- a/packages/standins/src/ebonyhaven_standins/bench/_soak.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_soak.py
@@ -1,4 +1,4 @@
-"""Random faults, alone and in pairs, while many streams run."""
+"""Soak scenario: random faults, single and in pairs, during many streams."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import attrs
 from twisted.internet import task, threads
 
-from ebonyhaven_standins.bench._catalogue import BenchScenario, Size
-from ebonyhaven_standins.bench._faults import Fault, Target, list_faults
+from ebonyhaven_standins.bench._bench_scenario import BenchScenario, Size
+from ebonyhaven_standins.bench._faults import Fault, FaultTarget, list_faults
 from ebonyhaven_standins.bench._losses import make_prompt
 from ebonyhaven_standins.caller import CallerLimits, CompletionRequest
 from ebonyhaven_standins.checker import TimelineKind, check
@@ -27,33 +27,33 @@
     start_deployment,
 )
 
-ENGINES = 6
-INSTANCES = 4
-SPARED = 2
-PAIR_SHARE = 0.3
+ENGINE_COUNT = 6
+INSTANCE_COUNT = 4
+MIN_UNAFFECTED_PROCESSES = 2
+FAULT_PAIR_SHARE = 0.3
 NOT_REPEATABLE_SHARE = 0.3
 ANALYSIS_SHARE = 0.5
 CRASHING_REQUESTS = {"short": 1, "full": 4}
 CONFIGURATION_CHANGES = {"short": 2, "full": 8}
-LOOK_UP_TOKENS = (8, 60)
-ANALYSIS_TOKENS = (80, 240)
+LOOK_UP_TOKENS_RANGE = (8, 60)
+ANALYSIS_TOKENS_RANGE = (80, 240)
 WORKSPACES = ("studio-a", "studio-b", "licences")
-PATIENCE_S = 60.0
-POLL_S = 0.2
+CALLER_PATIENCE_S = 60.0
+POLL_INTERVAL_S = 0.2
 
 
 @attrs.frozen(kw_only=True)
 class SoakPlan:
-    """Extent of a soak.
+    """Extent of a soak run.
 
     Parameters
     ----------
     streams : int
-        Number of requests.
+        Number of streamed requests.
     faults : int
-        Number of faults, those of pairs included.
+        Number of faults; a pair counts as two.
     duration_s : float
-        Time over which both are spread.
+        Time over which requests and faults are spread, seconds.
     """
 
     streams: int
@@ -68,72 +68,88 @@
 
 
 class FaultInjector:
-    """Draws faults and strikes processes that have none at the moment.
+    """Injects random faults into processes that have no active fault.
 
     Parameters
     ----------
     reactor : object
         Twisted reactor.
-    names : dict of Target to list of str
-        Processes by what they are.
+    names : dict of FaultTarget to list of str
+        Names of the processes of each kind.
     generator : random.Random
+
+    Attributes
+    ----------
+    counts : collections.Counter of str
+        Number of injected faults by name; ``skipped`` counts faults for which no
+        process was available.
     """
 
     def __init__(
         self,
         *,
         reactor: Any,
-        names: dict[Target, list[str]],
+        names: dict[FaultTarget, list[str]],
         generator: random.Random,
     ):
         self._reactor = reactor
         self._names = names
         self._generator = generator
-        self._struck: set[str] = set()
+        self._affected: set[str] = set()
         self.counts: collections.Counter[str] = collections.Counter()
 
-    def strike(self, runner: Runner) -> None:
-        """Begin one fault drawn at random, if a process is left to strike.
+    def inject(self, runner: Runner) -> None:
+        """Inject a random fault, if enough processes have no active fault.
 
         Parameters
         ----------
         runner : Runner
         """
         fault = self._generator.choice(list_faults())
-        names = self._list_unstruck(fault.target)
+        names = self._list_candidates(fault.target)
         if not names:
             self.counts["skipped"] += 1
             return
         name = self._generator.choice(names)
-        self._struck.add(name)
+        self._affected.add(name)
         self.counts[fault.name] += 1
         runner.report_action(f"{fault.name} {name}")
-        fault.begin(runner, name)
+        fault.inject(runner, name)
         duration_s = fault.draw_duration_s(self._generator)
-        self._reactor.callLater(duration_s, self._end, runner, fault, name)
+        self._reactor.callLater(duration_s, self._clear, runner, fault, name)
 
-    async def wait_until_over(self) -> None:
-        """Wait until every fault has ended."""
-        while self._struck:
-            await task.deferLater(self._reactor, POLL_S)
+    async def wait_until_cleared(self) -> None:
+        """Wait until every fault has been cleared."""
+        while self._affected:
+            await task.deferLater(self._reactor, POLL_INTERVAL_S)
 
-    def _list_unstruck(self, target: Target) -> list[str]:
+    def _list_candidates(self, target: FaultTarget) -> list[str]:
         names = self._names[target]
-        unstruck = [name for name in names if name not in self._struck]
-        spared = 0 if target is Target.PLATFORM else SPARED
-        return unstruck if len(unstruck) > spared else []
+        unaffected = [name for name in names if name not in self._affected]
+        min_unaffected = (
+            0 if target is FaultTarget.PLATFORM else MIN_UNAFFECTED_PROCESSES
+        )
+        return unaffected if len(unaffected) > min_unaffected else []
 
-    def _end(self, runner: Runner, fault: Fault, name: str) -> None:
+    def _clear(self, runner: Runner, fault: Fault, name: str) -> None:
         if fault.name == "instance_stopped" and runner.cluster.child(name).running:
-            # A graceful stop takes as long as its streams: not to be cut here.
-            self._reactor.callLater(POLL_S, self._end, runner, fault, name)
+            # A graceful shutdown lasts as long as its streams and must not be
+            # interrupted by the restart.
+            self._reactor.callLater(POLL_INTERVAL_S, self._clear, runner, fault, name)
             return
-        fault.end(runner, name)
-        self._struck.discard(name)
+        fault.clear(runner, name)
+        self._affected.discard(name)
 
 
 class SoakScenario(BenchScenario):
-    """Counts violations under random faults; ``seed`` makes the draw another."""
+    """Counts violations under random faults.
+
+    Parameters
+    ----------
+    name : str
+    seed : int
+        Seed of the requests and faults.
+    """
 
     def __init__(self, name: str, *, seed: int = 1):
         super().__init__(name)
@@ -147,18 +163,18 @@
         injector = FaultInjector(
             reactor=reactor,
             names={
-                Target.ENGINE: [item.name for item in deployment.engines],
-                Target.INSTANCE: list(deployment.instances),
-                Target.PLATFORM: [PLATFORM],
+                FaultTarget.ENGINE: [item.name for item in deployment.engines],
+                FaultTarget.INSTANCE: list(deployment.instances),
+                FaultTarget.PLATFORM: [PLATFORM],
             },
             generator=generator,
         )
-        actions = _draw_strikes(plan, injector, generator)
-        actions += _draw_changes(plan, size, deployment)
+        actions = _draw_fault_actions(plan, injector, generator)
+        actions += _make_change_actions(plan, size, deployment)
         scenario = Scenario(
             arrivals=_draw_arrivals(plan, size, generator),
             actions=actions,
-            limits=CallerLimits(total_timeout_s=PATIENCE_S),
+            limits=CallerLimits(total_timeout_s=CALLER_PATIENCE_S),
             seed=self._seed,
         )
         with Cluster() as cluster:
@@ -168,14 +184,14 @@
                 cluster=cluster,
                 instances=list(deployment.instances),
                 scenario=scenario,
-                on_update=_show,
+                on_update=_print_progress,
             )
             evidence = await runner.run()
-            await injector.wait_until_over()
+            await injector.wait_until_cleared()
         return _summarize(evidence, injector)
 
 
-def _show(item: object) -> None:
+def _print_progress(item: object) -> None:
     if isinstance(item, str):
         print(item, flush=True)
 
@@ -206,11 +222,11 @@
     centres = ("dc-a", "dc-b", "dc-c")
     engines = [
         ServerSpec(name=f"s{number + 1:02d}", data_centre=centres[number % 3])
-        for number in range(ENGINES)
+        for number in range(ENGINE_COUNT)
     ]
     return Deployment(
         region="r1",
-        instances={f"n{n + 1}": centres[n % 3] for n in range(INSTANCES)},
+        instances={f"n{n + 1}": centres[n % 3] for n in range(INSTANCE_COUNT)},
         engines=engines,
         workspaces=WORKSPACES,
         uses_fault_proxy=True,
@@ -234,29 +250,29 @@
 
 def _draw_request(generator: random.Random) -> CompletionRequest:
     is_analysis = generator.random() < ANALYSIS_SHARE
-    chars = (2000, 6000) if is_analysis else (100, 400)
-    tokens = ANALYSIS_TOKENS if is_analysis else LOOK_UP_TOKENS
+    characters_range = (2000, 6000) if is_analysis else (100, 400)
+    tokens_range = ANALYSIS_TOKENS_RANGE if is_analysis else LOOK_UP_TOKENS_RANGE
     return CompletionRequest(
         workspace=generator.choice(WORKSPACES),
         request_class=ANALYSIS if is_analysis else LOOK_UP,
-        prompt=make_prompt(generator, *chars),
-        max_tokens=generator.randint(*tokens),
+        prompt=make_prompt(generator, *characters_range),
+        max_tokens=generator.randint(*tokens_range),
         repeatable=generator.random() >= NOT_REPEATABLE_SHARE,
     )
 
 
-def _draw_strikes(
+def _draw_fault_actions(
     plan: SoakPlan, injector: FaultInjector, generator: random.Random
 ) -> list[TimedAction]:
-    strikes: list[TimedAction] = []
-    while len(strikes) < plan.faults:
+    actions: list[TimedAction] = []
+    while len(actions) < plan.faults:
         at_s = generator.uniform(1.0, plan.duration_s)
-        count = 2 if generator.random() < PAIR_SHARE else 1
-        strikes += [TimedAction(at_s, injector.strike)] * count
-    return strikes
+        count = 2 if generator.random() < FAULT_PAIR_SHARE else 1
+        actions += [TimedAction(at_s, injector.inject)] * count
+    return actions
 
 
-def _draw_changes(
+def _make_change_actions(
     plan: SoakPlan, size: Size, deployment: Deployment
 ) -> list[TimedAction]:
     count = CONFIGURATION_CHANGES[size]
@@ -272,13 +288,13 @@
     declaration["classes"][ANALYSIS]["may_wait_ms"] += 1000 * (number + 1)
 
     def change(runner: Runner) -> None:
-        accepting = threads.deferToThread(runner.cluster.declare, declaration)
-        accepting.addCallback(
+        acceptance = threads.deferToThread(runner.cluster.declare, declaration)
+        acceptance.addCallback(
             lambda version: runner.timeline.add(
                 TimelineKind.CONFIGURATION_ACCEPTED, "operator", version=version
             )
         )
-        # The platform may be down: then nothing was accepted as far as is known.
-        accepting.addErrback(lambda _: None)
+        # While the platform is down, acceptance is unknown and not recorded.
+        acceptance.addErrback(lambda _: None)
 
     return change
--- a/packages/standins/src/ebonyhaven_standins/bench/configuration.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/configuration.py
@@ -1,9 +1,10 @@
-"""Time from the acceptance of a configuration until it is in force everywhere.
+"""Time from the write of a configuration until it is in force on all instances.
 
 Run by ``python -m ebonyhaven_standins.bench.configuration [--instances 6]
-[--changes 10] [--output FILE]``. Three series: nothing fails; the table goes out
-as soon as one instance has the change; half of the instances can not reach the
-table. Then the load of the control part on the table, by the count of instances.
+[--changes 10] [--output FILE]``. Measures three series of changes: without faults;
+with an outage of the table as soon as one instance has the change; with half of the
+instances partitioned from the table. Then measures the load of the control plane on
+the table, by number of instances.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 
 DEFAULT_INSTANCES = 6
 DEFAULT_CHANGES = 10
-DEADLINE_S = 60.0
-PAUSE_S = 0.01
+IN_FORCE_TIMEOUT_S = 60.0
+LOG_POLL_INTERVAL_S = 0.01
 SETTLE_S = 2.0
-LOAD_S = 20.0
+TABLE_LOAD_DURATION_S = 20.0
 IN_FORCE_TARGET_S = 3.0
 IN_FORCE_BOUND_S = 9.0
 TABLE_LINK = "table"
-EVENT = '"configuration_in_force"'
+IN_FORCE_EVENT_MARKER = '"configuration_in_force"'
 
 
-class Condition(enum.StrEnum):
-    """What fails while a change spreads."""
+class TableFault(enum.StrEnum):
+    """Fault of the table while a change propagates."""
 
     NONE = "none"
     OUTAGE = "outage"
@@ -40,16 +41,18 @@
 
 
 class InForceTimes(TypedDict):
-    """Times of one series of changes.
+    """Propagation times of one series of changes.
 
     Parameters
     ----------
     condition : str
+        Value of `TableFault`.
     instances, changes : int
     p50_s, p95_s, max_s : float
-        From before the write is sent until the last instance runs the version.
+        Time from before the write is sent until the version is in force on the last
+        instance, seconds.
     reverted : int
-        Instances whose log shows a version after a higher one.
+        Number of instances that logged a version twice or after a higher one.
     """
 
     condition: str
@@ -62,7 +65,7 @@
 
 
 class TableLoad(TypedDict):
-    """Reads and writes of the table a second while nothing happens."""
+    """Reads and writes of the table per second without requests and changes."""
 
     instances: int
     seconds: float
@@ -71,7 +74,7 @@
 
 
 def measure_table_load(*, instances: int, seconds: float) -> TableLoad:
-    """Count the operations of the table while nothing happens.
+    """Measure the operations on the table without requests and changes.
 
     Parameters
     ----------
@@ -86,7 +89,7 @@
     """
     names = [f"n{number}" for number in range(instances)]
     with Cluster() as cluster:
-        _start(cluster, names)
+        _start_cluster(cluster, names)
         before = cluster.platform.call("GET", "/counts")
         started = time.monotonic()
         time.sleep(seconds)
@@ -100,12 +103,14 @@
     )
 
 
-def measure(condition: Condition, *, instances: int, changes: int) -> InForceTimes:
-    """Make changes one after another and measure each.
+def measure_in_force_times(
+    condition: TableFault, *, instances: int, changes: int
+) -> InForceTimes:
+    """Make changes one after another and measure the propagation of each.
 
     Parameters
     ----------
-    condition : Condition
+    condition : TableFault
     instances : int
         Number of node processes.
     changes : int
@@ -117,8 +122,8 @@
     """
     names = [f"n{number}" for number in range(instances)]
     with Cluster() as cluster:
-        _start(cluster, names)
-        if condition is Condition.PARTITION:
+        _start_cluster(cluster, names)
+        if condition is TableFault.PARTITION:
             cluster.set_fault("partition", link=TABLE_LINK)
         times = []
         for number in range(changes):
@@ -129,13 +134,13 @@
         instances=instances,
         changes=changes,
         p50_s=round(statistics.median(times), 3),
-        p95_s=round(_find_quantile(times, 0.95), 3),
+        p95_s=round(_compute_quantile(times, 0.95), 3),
         max_s=round(max(times), 3),
         reverted=reverted,
     )
 
 
-def _start(cluster: Cluster, names: list[str]) -> None:
+def _start_cluster(cluster: Cluster, names: list[str]) -> None:
     cluster.start_platform()
     cluster.start_fault_proxy()
     link = cluster.add_link(TABLE_LINK, target=cluster.addresses["platform"])
@@ -149,18 +154,18 @@
 
 
 def _measure_change(
-    cluster: Cluster, names: list[str], condition: Condition, number: int
+    cluster: Cluster, names: list[str], condition: TableFault, number: int
 ) -> float:
-    began = time.time()
+    started_at = time.time()
     version = cluster.declare(_make_declaration(f"change-{number}"))
-    if condition is Condition.OUTAGE:
+    if condition is TableFault.OUTAGE:
         _wait_for_any(cluster, names, version)
         cluster.platform.set_faults(outage=True)
-    in_force = _wait_for_all(cluster, names, version)
-    if condition is Condition.OUTAGE:
+    in_force_at = _wait_for_all(cluster, names, version)
+    if condition is TableFault.OUTAGE:
         cluster.platform.set_faults(outage=False)
     time.sleep(SETTLE_S)
-    return in_force - began
+    return in_force_at - started_at
 
 
 def _make_declaration(workspace: str) -> dict[str, Any]:
@@ -177,10 +182,10 @@
 
 
 def _read_versions(cluster: Cluster, name: str) -> list[tuple[int, float]]:
-    """Return the versions that an instance logged with their times."""
+    """Return the versions that an instance logged as in force, with their times."""
     versions = []
     for line in cluster.child(name).log_path.read_text().splitlines():
-        if EVENT in line and line.endswith("}"):
+        if IN_FORCE_EVENT_MARKER in line and line.endswith("}"):
             entry = json.loads(line)
             at = datetime.datetime.fromisoformat(entry["timestamp"])
             versions.append((entry["version"], at.timestamp()))
@@ -188,20 +193,20 @@
 
 
 def _wait_for_all(cluster: Cluster, names: list[str], version: int) -> float:
-    """Return when the last instance had a version in force."""
+    """Wait until all instances have a version in force; return the time of the last."""
     times = [_wait_for_any(cluster, [name], version) for name in names]
     return max(times)
 
 
 def _wait_for_any(cluster: Cluster, names: list[str], version: int) -> float:
-    """Return when any of the instances had a version in force."""
-    deadline = time.monotonic() + DEADLINE_S
+    """Wait until an instance has a version in force; return its time."""
+    deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
     while time.monotonic() < deadline:
         for name in names:
             for logged, at in _read_versions(cluster, name):
                 if logged >= version:
                     return at
-        time.sleep(PAUSE_S)
+        time.sleep(LOG_POLL_INTERVAL_S)
     raise TimeoutError(f"version {version} is not in force on {names}")
 
 
@@ -210,32 +215,34 @@
     return versions != sorted(set(versions))
 
 
-def _find_quantile(values: list[float], share: float) -> float:
+def _compute_quantile(values: list[float], share: float) -> float:
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 def measure_all(*, instances: int, changes: int) -> dict[str, Any]:
-    """Measure all series.
+    """Measure the propagation under each fault, and the load on the table.
 
     Parameters
     ----------
     instances, changes : int
+        Number of node processes, and of changes in each series.
 
     Returns
     -------
     dict
-        ``broken`` counts series that missed the bound or reverted.
+        ``broken`` counts series that exceeded the bound or in which an instance
+        reverted a version.
     """
     series = [
-        measure(condition, instances=instances, changes=changes)
-        for condition in Condition
+        measure_in_force_times(condition, instances=instances, changes=changes)
+        for condition in TableFault
     ]
-    broken = sum(
+    violation_count = sum(
         each["max_s"] > IN_FORCE_BOUND_S or each["reverted"] > 0 for each in series
     )
     loads = [
-        measure_table_load(instances=count, seconds=LOAD_S)
+        measure_table_load(instances=count, seconds=TABLE_LOAD_DURATION_S)
         for count in (instances // 3, instances, 2 * instances)
     ]
     return {
@@ -243,7 +250,7 @@
         "table_load": loads,
         "target_s": IN_FORCE_TARGET_S,
         "bound_s": IN_FORCE_BOUND_S,
-        "broken": broken,
+        "broken": violation_count,
     }
 
 
--- a/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
@@ -1,4 +1,4 @@
-"""Processor time of one routing and one admission decision, by size.
+"""Processor time of routing and admission decisions by size of the deployment.
 
 Run by ``python -m ebonyhaven_standins.bench.decision_costs``; prints one JSON line.
 """
@@ -27,12 +27,12 @@
 SERVER_COUNTS = (10, 100, 730)
 WORKSPACE_COUNTS = (10, 100, 920)
 ROUNDS = 5
-DECISIONS_A_ROUND = 400
-WAITING_A_WORKSPACE = 3
-MAX_COST_US = 100.0
+DECISIONS_PER_ROUND = 400
+QUEUED_PER_WORKSPACE = 3
+MAX_DECISION_COST_US = 100.0
 MODEL = "dossier"
-PLACE = Locality("dc-0", "r1")
-TARGETS = {
+LOCALITY = Locality("dc-0", "r1")
+CLASS_TARGETS = {
     "look-up": ClassTargets(first_token_ms=500, gap_ms=62, resume_ms=1000),
     "analysis": ClassTargets(
         first_token_ms=8000, gap_ms=100, resume_ms=2000, may_wait_ms=60000
@@ -41,11 +41,11 @@
 
 
 class DecisionCost(TypedDict):
-    """Median cost of the decisions at one size, microseconds.
+    """Median processor time of the decisions at one size, microseconds.
 
-    ``request_us`` is a whole request that finds room: submission, queue, routing,
-    accounting and end. ``admission_us`` is a request behind a backlog, from its
-    submission to the verdict.
+    ``request_us`` covers a request that finds free capacity: submission, queueing,
+    routing, accounting and completion. ``admission_us`` covers a request behind a
+    backlog, from its submission to the admission decision.
     """
 
     servers: int
@@ -56,86 +56,86 @@
 
 
 def measure_decision_costs() -> list[DecisionCost]:
-    """Measure the decisions at each size.
+    """Measure the decisions for each number of servers and workspaces.
 
     Returns
     -------
     list of DecisionCost
     """
     return [
-        _measure(servers, workspaces)
+        _measure_decisions(servers, workspaces)
         for servers in SERVER_COUNTS
         for workspaces in WORKSPACE_COUNTS
     ]
 
 
-def _measure(servers: int, workspaces: int) -> DecisionCost:
+def _measure_decisions(servers: int, workspaces: int) -> DecisionCost:
     return DecisionCost(
         servers=servers,
         workspaces=workspaces,
-        request_us=_repeat(lambda: _time_requests(servers, workspaces)),
-        routing_us=_repeat(lambda: _time_routing(servers, workspaces)),
-        admission_us=_repeat(lambda: _time_admission(servers, workspaces)),
+        request_us=_compute_median_us(lambda: _time_requests(servers, workspaces)),
+        routing_us=_compute_median_us(lambda: _time_routing(servers, workspaces)),
+        admission_us=_compute_median_us(lambda: _time_admission(servers, workspaces)),
     )
 
 
-def _repeat(measure: Callable[[], float]) -> float:
+def _compute_median_us(measure: Callable[[], float]) -> float:
     return round(statistics.median(measure() for _ in range(ROUNDS)), 1)
 
 
 def _time_requests(servers: int, workspaces: int) -> float:
-    scheduler = _build(servers, running=4)
-    items = [_build_item(index, workspaces) for index in range(DECISIONS_A_ROUND)]
+    scheduler = _build_loaded_scheduler(servers, running=4)
+    items = [_build_item(index, workspaces) for index in range(DECISIONS_PER_ROUND)]
     started = time.process_time()
     for index, item in enumerate(items):
         now = index * 0.05
         scheduler.submit(item, now)
         for dispatch in scheduler.collect_decisions(now).dispatches:
             scheduler.dispatcher.record_end(dispatch.item.item_id, now)
-    return _per_decision_us(started)
+    return _compute_us_per_decision(started)
 
 
 def _time_routing(servers: int, workspaces: int) -> float:
-    dispatcher = _build(servers, running=4).dispatcher
-    items = [_build_item(index, workspaces) for index in range(DECISIONS_A_ROUND)]
-    spent = 0.0
+    dispatcher = _build_loaded_scheduler(servers, running=4).dispatcher
+    items = [_build_item(index, workspaces) for index in range(DECISIONS_PER_ROUND)]
+    spent_s = 0.0
     for index, item in enumerate(items):
         now = index * 0.05
         started = time.process_time()
         choice = dispatcher.choose(
             item, excluded=frozenset(), must_yield=False, now=now
         )
-        spent += time.process_time() - started
+        spent_s += time.process_time() - started
         dispatcher.dispatch(item, choice, now)
         dispatcher.record_end(item.item_id, now)
-    return spent / DECISIONS_A_ROUND * 1e6
+    return spent_s / DECISIONS_PER_ROUND * 1e6
 
 
 def _time_admission(servers: int, workspaces: int) -> float:
-    scheduler = _build(servers, running=16)
-    for index in range(WAITING_A_WORKSPACE * workspaces):
+    scheduler = _build_loaded_scheduler(servers, running=16)
+    for index in range(QUEUED_PER_WORKSPACE * workspaces):
         scheduler.submit(_build_item(index, workspaces), 0.0)
         scheduler.collect_decisions(0.0)
     items = [
         _build_item(10_000_000 + index, workspaces)
-        for index in range(DECISIONS_A_ROUND)
+        for index in range(DECISIONS_PER_ROUND)
     ]
     started = time.process_time()
     for item in items:
         scheduler.submit(item, 0.1)
         scheduler.collect_decisions(0.1)
-    return _per_decision_us(started)
+    return _compute_us_per_decision(started)
 
 
-def _per_decision_us(started: float) -> float:
-    return (time.process_time() - started) / DECISIONS_A_ROUND * 1e6
+def _compute_us_per_decision(started: float) -> float:
+    return (time.process_time() - started) / DECISIONS_PER_ROUND * 1e6
 
 
-def _build(servers: int, *, running: int) -> Scheduler:
+def _build_loaded_scheduler(servers: int, *, running: int) -> Scheduler:
     scheduler = build_scheduler(
         SchedulingAlgorithm.FAIR,
-        derive_policies(TARGETS),
-        place=PLACE,
+        derive_policies(CLASS_TARGETS),
+        place=LOCALITY,
         random_source=random.Random(1),
         now=0.0,
     )
--- a/packages/standins/src/ebonyhaven_standins/bench/load.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/load.py
@@ -1,8 +1,8 @@
-"""Targets under load and faults, beside two baselines.
+"""Latency targets under load and faults, for fair scheduling and two baselines.
 
-Each scenario runs on real node processes and engine stand-ins, once for each way of
-scheduling, with the same requests. ``python -m ebonyhaven_standins.bench.load``
-prints one JSON line a result; ``--full`` runs more loads and seeds.
+Each scenario runs on real node processes and engine stand-ins, once per scheduling
+algorithm, with the same requests. ``python -m ebonyhaven_standins.bench.load``
+prints one JSON line per result; ``--full`` runs more loads and seeds.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 import attrs
 
 from ebonyhaven_standins.bench import _load_measures as measures
-from ebonyhaven_standins.bench._load_measures import Limits, Window
+from ebonyhaven_standins.bench._load_measures import LatencyTargets, Window
 from ebonyhaven_standins.bench._load_plans import (
-    INSTANCES,
-    WORKSPACE_LOADS,
+    INSTANCE_COUNT,
+    WORKSPACE_LOAD_SHARES,
     plan_analyses,
     plan_look_ups,
 )
@@ -40,12 +40,12 @@
     start_deployment,
 )
 
-SCHEDULINGS = ("fair", "round_robin", "least_connections")
-ENGINES = 20
-CAPACITY = 8
+SCHEDULING_ALGORITHMS = ("fair", "round_robin", "least_connections")
+ENGINE_COUNT = 20
+ENGINE_CAPACITY = 8
 STEP_MS = 40.0
 FULL_STEP_MS = 56.0
-CAPACITY_TOKENS_PER_S = ENGINES * CAPACITY / (FULL_STEP_MS / 1000.0)
+CAPACITY_TOKENS_PER_S = ENGINE_COUNT * ENGINE_CAPACITY / (FULL_STEP_MS / 1000.0)
 DATA_CENTRES = ("ba-petrzalka", "ba-ruzinov", "tt-hall")
 CLASSES = {
     LOOK_UP: {
@@ -62,42 +62,46 @@
         "default": True,
     },
 }
-LIMITS = {LOOK_UP: Limits(0.5, 0.062), ANALYSIS: Limits(5.0, 0.1)}
+# The first-token target includes the time that a request may wait.
+LATENCY_TARGETS = {
+    LOOK_UP: LatencyTargets(0.5, 0.062),
+    ANALYSIS: LatencyTargets(5.0, 0.1),
+}
 LOOK_UP_RATE_PER_S = 12.5
 LOOK_UP_TOKENS_PER_S = LOOK_UP_RATE_PER_S * 16
-SMALL = "small-a"
-LARGE = "large-a"
-SMALL_SHARE = 0.03
-LARGE_SHARE = 1.0
+SMALL_WORKSPACE = "small-a"
+LARGE_WORKSPACE = "large-a"
+SMALL_WORKSPACE_LOAD_SHARE = 0.03
+LARGE_WORKSPACE_LOAD_SHARE = 1.0
 DRAIN_S = 25.0
 WARM_UP_S = 6.0
 SETTLE_S = 3.0
-RUN_DEADLINE_S = 180.0
+RUN_TIMEOUT_S = 180.0
 SHORT_LOADS = (0.8, 2.0)
 FULL_LOADS = (0.5, 0.8, 1.0, 1.3, 2.0)
 
 
 @attrs.frozen(kw_only=True)
-class LoadBench:
-    """Sizes of a run of the bench.
+class LoadBenchOptions:
+    """Extent of a run of the load benchmark.
 
     Parameters
     ----------
     loads : sequence of float
-        Shares of the capacity.
+        Offered loads, as shares of the capacity.
     seeds : sequence of int
     phase_s : float
-        Length of one phase, seconds.
-    schedulings : sequence of str
+        Length of each measured phase, seconds.
+    scheduling_algorithms : sequence of str
     """
 
     loads: Sequence[float] = SHORT_LOADS
     seeds: Sequence[int] = (1,)
     phase_s: float = 14.0
-    schedulings: Sequence[str] = SCHEDULINGS
+    scheduling_algorithms: Sequence[str] = SCHEDULING_ALGORITHMS
 
 
-class Deployed:
+class DeploymentUnderTest:
     """A started deployment that sends plans to its instances.
 
     Parameters
@@ -108,36 +112,36 @@
     Attributes
     ----------
     lag_p95_s : float
-        Delay of timers in the load generator during the last plan, seconds; it
-        bounds how exact the figures of that plan are.
+        95th percentile of the timer delay in the load generator during the last
+        plan, seconds. It limits the accuracy of the figures of that plan.
     """
 
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self.cluster = cluster
         self._seed = seed
-        self._plans = 0
+        self._plan_count = 0
         self.lag_p95_s = 0.0
 
-    def send(
+    def run_plan(
         self,
         plan: Sequence[PlannedRequest],
         actions: Sequence[tuple[float, Callable[[Cluster], None]]] = (),
     ) -> list[LoadRecord]:
-        """Send a plan and return what became of its requests.
+        """Send the requests of a plan and return their records.
 
         Parameters
         ----------
         plan : sequence of PlannedRequest
         actions : sequence of tuple of float and callable
-            Seconds after the start, and what is done to the processes then.
+            Seconds after the start, and a function that is called at that time.
         """
         folder = self.cluster.folder
-        self._plans += 1
-        plan_path = folder / f"plan{self._plans}.json"
-        out_path = folder / f"records{self._plans}.json"
-        addresses = [self.cluster.addresses[name] for name in _name_instances()]
-        # Keys that were used by an earlier plan would find its finished runs.
-        seed = 1000 * self._seed + self._plans
+        self._plan_count += 1
+        plan_path = folder / f"plan{self._plan_count}.json"
+        out_path = folder / f"records{self._plan_count}.json"
+        addresses = [self.cluster.addresses[name] for name in _list_instance_names()]
+        # A reused idempotency key would match a finished run of an earlier plan.
+        seed = 1000 * self._seed + self._plan_count
         content = {"addresses": addresses, "seed": seed, "requests": plan}
         plan_path.write_text(json.dumps(content))
         command = [sys.executable, "-m", "ebonyhaven_standins.bench._open_loop"]
@@ -153,7 +157,7 @@
                 for at_s, act in actions:
                     time.sleep(max(0.0, started_at + at_s - time.monotonic()))
                     act(self.cluster)
-                child.wait(RUN_DEADLINE_S)
+                child.wait(RUN_TIMEOUT_S)
             finally:
                 child.kill()
         content = json.loads(out_path.read_text())
@@ -162,176 +166,189 @@
 
 
 def measure_load(
-    deployed: Deployed, load: float, seed: int, phase_s: float
+    deployment: DeploymentUnderTest, load: float, seed: int, phase_s: float
 ) -> dict[str, Any]:
-    """Measure look-ups alone, then with analyses up to a load.
+    """Measure look-ups alone, then with analyses that fill up the offered load.
 
     Parameters
     ----------
-    deployed : Deployed
+    deployment : DeploymentUnderTest
     load : float
-        Share of the capacity.
+        Offered load of both classes, as a share of the capacity.
     seed : int
     phase_s : float
         Length of each phase, seconds.
     """
-    source = random.Random(seed)
-    loaded_s = phase_s + WARM_UP_S + phase_s
-    plan = plan_look_ups(LOOK_UP_RATE_PER_S, begin_s=0, end_s=loaded_s, source=source)
+    rng = random.Random(seed)
+    end_s = phase_s + WARM_UP_S + phase_s
+    plan = plan_look_ups(LOOK_UP_RATE_PER_S, begin_s=0, end_s=end_s, rng=rng)
     analysis_tokens_per_s = load * CAPACITY_TOKENS_PER_S - LOOK_UP_TOKENS_PER_S
-    plan += plan_analyses(
-        analysis_tokens_per_s, begin_s=phase_s, end_s=loaded_s, source=source
-    )
-    records = deployed.send(plan)
+    plan += plan_analyses(analysis_tokens_per_s, begin_s=phase_s, end_s=end_s, rng=rng)
+    records = deployment.run_plan(plan)
     alone = Window(1.0, phase_s)
-    window = Window(phase_s + WARM_UP_S, loaded_s)
+    window = Window(phase_s + WARM_UP_S, end_s)
     demands = _sum_demands(records, window)
     backlogged = measures.find_backlogged(demands, CAPACITY_TOKENS_PER_S)
-    served = measures.measure_service(records, window, backlogged)
-    look_ups_alone = measures.select(records, alone, class_name=LOOK_UP)
-    look_ups = measures.select(records, window, class_name=LOOK_UP)
-    analyses = measures.select(records, window, class_name=ANALYSIS)
+    served = measures.measure_served_tokens(records, window, backlogged)
+    look_ups_alone = measures.select_records(records, alone, class_name=LOOK_UP)
+    look_ups = measures.select_records(records, window, class_name=LOOK_UP)
+    analyses = measures.select_records(records, window, class_name=ANALYSIS)
     alone_s = measures.measure_first_token_s(look_ups_alone, 0.95)
-    saturated_s = measures.measure_first_token_s(look_ups, 0.95)
-    goodput = measures.measure_goodput(records, LIMITS, window)
+    look_up_p95_s = measures.measure_first_token_s(look_ups, 0.95)
+    goodput = measures.measure_goodput(records, LATENCY_TARGETS, window)
     return {
         "scenario": "load",
-        "generator_lag_p95_s": deployed.lag_p95_s,
+        "generator_lag_p95_s": deployment.lag_p95_s,
         "load": load,
         "requests": len(look_ups) + len(analyses),
         "look_up_p95_alone_s": alone_s,
-        "look_up_p95_s": saturated_s,
-        "look_up_ratio": _divide(saturated_s, alone_s),
-        "look_ups_in_target": measures.measure_share_in_target(look_ups, LIMITS),
+        "look_up_p95_s": look_up_p95_s,
+        "look_up_ratio": _compute_ratio(look_up_p95_s, alone_s),
+        "look_ups_in_target": measures.compute_in_target_share(
+            look_ups, LATENCY_TARGETS
+        ),
         "analysis_p95_s": measures.measure_first_token_s(analyses, 0.95),
-        "analyses_in_target": measures.measure_share_in_target(analyses, LIMITS),
+        "analyses_in_target": measures.compute_in_target_share(
+            analyses, LATENCY_TARGETS
+        ),
         "goodput_tokens_per_s": goodput,
         "goodput_of_offered": round(
             goodput / min(load, 1.0) / CAPACITY_TOKENS_PER_S, 4
         ),
         "backlogged": len(backlogged) if load > 1.0 else 0,
-        "jain": measures.compute_jain(list(served.values())) if load > 1.0 else None,
-        "attempts_a_request": _count_attempts(look_ups + analyses),
+        "jain": measures.compute_jain_index(list(served.values()))
+        if load > 1.0
+        else None,
+        "attempts_a_request": _compute_mean_attempts(look_ups + analyses),
     }
 
 
 def measure_large_workspace(
-    deployed: Deployed, seed: int, phase_s: float
+    deployment: DeploymentUnderTest, seed: int, phase_s: float
 ) -> dict[str, Any]:
-    """Measure a small workspace alone, then beside one with ten times its share."""
-    source = random.Random(seed)
-    loaded_s = phase_s + WARM_UP_S + phase_s
+    """Measure a small workspace alone, then together with a large one.
+
+    The large workspace requests the whole capacity: ten times an equal share of the
+    ten workspaces.
+    """
+    rng = random.Random(seed)
+    end_s = phase_s + WARM_UP_S + phase_s
     plan = plan_analyses(
         CAPACITY_TOKENS_PER_S,
         begin_s=0,
-        end_s=loaded_s,
-        source=source,
-        loads={SMALL: SMALL_SHARE},
+        end_s=end_s,
+        rng=rng,
+        workspace_shares={SMALL_WORKSPACE: SMALL_WORKSPACE_LOAD_SHARE},
     )
     plan += plan_analyses(
         CAPACITY_TOKENS_PER_S,
         begin_s=phase_s,
-        end_s=loaded_s,
-        source=source,
-        loads={LARGE: LARGE_SHARE},
+        end_s=end_s,
+        rng=rng,
+        workspace_shares={LARGE_WORKSPACE: LARGE_WORKSPACE_LOAD_SHARE},
     )
-    records = deployed.send(plan)
-    alone = measures.select(records, Window(1.0, phase_s), workspace=SMALL)
-    window = Window(phase_s + WARM_UP_S, loaded_s)
-    beside = measures.select(records, window, workspace=SMALL)
+    records = deployment.run_plan(plan)
+    alone = measures.select_records(
+        records, Window(1.0, phase_s), workspace=SMALL_WORKSPACE
+    )
+    window = Window(phase_s + WARM_UP_S, end_s)
+    beside_large = measures.select_records(records, window, workspace=SMALL_WORKSPACE)
     alone_s = measures.measure_first_token_s(alone, 0.95)
-    beside_s = measures.measure_first_token_s(beside, 0.95)
+    small_p95_s = measures.measure_first_token_s(beside_large, 0.95)
     return {
         "scenario": "large_workspace",
-        "generator_lag_p95_s": deployed.lag_p95_s,
-        "requests": len(beside),
+        "generator_lag_p95_s": deployment.lag_p95_s,
+        "requests": len(beside_large),
         "small_p95_alone_s": alone_s,
-        "small_p95_s": beside_s,
-        "small_ratio": _divide(beside_s, alone_s),
-        "small_in_target": measures.measure_share_in_target(beside, LIMITS),
+        "small_p95_s": small_p95_s,
+        "small_ratio": _compute_ratio(small_p95_s, alone_s),
+        "small_in_target": measures.compute_in_target_share(
+            beside_large, LATENCY_TARGETS
+        ),
     }
 
 
 def measure_loss(
-    deployed: Deployed, seed: int, phase_s: float, load: float = 0.6
+    deployment: DeploymentUnderTest, seed: int, phase_s: float, load: float = 0.6
 ) -> dict[str, Any]:
-    """Measure how a third of the servers lost at once is got over."""
-    source = random.Random(seed)
+    """Measure the recovery after a third of the engines are killed at once."""
+    rng = random.Random(seed)
     fault_s = WARM_UP_S + 2.0
     end_s = fault_s + phase_s
-    plan = plan_look_ups(LOOK_UP_RATE_PER_S, begin_s=0, end_s=end_s, source=source)
+    plan = plan_look_ups(LOOK_UP_RATE_PER_S, begin_s=0, end_s=end_s, rng=rng)
     plan += plan_analyses(
         load * CAPACITY_TOKENS_PER_S - LOOK_UP_TOKENS_PER_S,
         begin_s=0,
         end_s=end_s,
-        source=source,
+        rng=rng,
     )
-    lost = source.sample(_name_engines(), ENGINES // 3)
+    killed = rng.sample(_list_engine_names(), ENGINE_COUNT // 3)
 
     def kill(cluster: Cluster) -> None:
-        for name in lost:
+        for name in killed:
             cluster.kill(name)
 
-    records = deployed.send(plan, [(fault_s, kill)])
+    records = deployment.run_plan(plan, [(fault_s, kill)])
     running = [
         record
         for record in records
         if record["at_s"] < fault_s and (record["ended_s"] or end_s) > fault_s
     ]
-    after = measures.select(records, Window(fault_s, end_s))
+    after = measures.select_records(records, Window(fault_s, end_s))
     completed = sum(record["outcome"] == measures.COMPLETED for record in running)
     return {
         "scenario": "third_lost",
-        "generator_lag_p95_s": deployed.lag_p95_s,
+        "generator_lag_p95_s": deployment.lag_p95_s,
         "load": load,
         "requests": len(after),
-        "in_target_after": measures.measure_share_in_target(after, LIMITS),
+        "in_target_after": measures.compute_in_target_share(after, LATENCY_TARGETS),
         "recovery_s": measures.measure_recovery_s(
-            records, LIMITS, fault_s=fault_s, end_s=end_s
+            records, LATENCY_TARGETS, fault_s=fault_s, end_s=end_s
         ),
         "running_at_loss": len(running),
         "running_completed": completed,
-        "attempts_a_request": _count_attempts(after),
+        "attempts_a_request": _compute_mean_attempts(after),
     }
 
 
-def run_load_bench(bench: LoadBench) -> Iterator[dict[str, Any]]:
-    """Run all scenarios and yield one result for each way of scheduling.
+def run_load_bench(options: LoadBenchOptions) -> Iterator[dict[str, Any]]:
+    """Run all scenarios with each scheduling algorithm and yield their results.
 
     Parameters
     ----------
-    bench : LoadBench
+    options : LoadBenchOptions
 
     Yields
     ------
     dict
+        Figures of one scenario, with ``scheduling`` and ``seed``.
     """
-    for seed in bench.seeds:
-        for scheduling in bench.schedulings:
-            for result in _run_scheduling(bench, scheduling, seed):
+    for seed in options.seeds:
+        for scheduling in options.scheduling_algorithms:
+            for result in _run_algorithm(options, scheduling, seed):
                 yield {"scheduling": scheduling, "seed": seed, **result}
 
 
-def _run_scheduling(
-    bench: LoadBench, scheduling: str, seed: int
+def _run_algorithm(
+    options: LoadBenchOptions, scheduling: str, seed: int
 ) -> Iterator[dict[str, Any]]:
     with Cluster() as cluster:
-        _start(cluster, scheduling, seed)
-        deployed = Deployed(cluster, seed)
-        for load in bench.loads:
-            yield measure_load(deployed, load, seed, bench.phase_s)
-        yield measure_large_workspace(deployed, seed, bench.phase_s)
-        yield measure_loss(deployed, seed, bench.phase_s)
+        _start_cluster(cluster, scheduling, seed)
+        deployment = DeploymentUnderTest(cluster, seed)
+        for load in options.loads:
+            yield measure_load(deployment, load, seed, options.phase_s)
+        yield measure_large_workspace(deployment, seed, options.phase_s)
+        yield measure_loss(deployment, seed, options.phase_s)
 
 
-def _start(cluster: Cluster, scheduling: str, seed: int) -> None:
+def _start_cluster(cluster: Cluster, scheduling: str, seed: int) -> None:
     engines = [
         ServerSpec(
             name=name,
             data_centre=DATA_CENTRES[index % len(DATA_CENTRES)],
             options=(
                 "--capacity",
-                str(CAPACITY),
+                str(ENGINE_CAPACITY),
                 "--step-ms",
                 str(STEP_MS),
                 "--full-step-ms",
@@ -340,17 +357,17 @@
                 "256",
             ),
         )
-        for index, name in enumerate(_name_engines())
+        for index, name in enumerate(_list_engine_names())
     ]
     instances = {
         name: DATA_CENTRES[index % len(DATA_CENTRES)]
-        for index, name in enumerate(_name_instances())
+        for index, name in enumerate(_list_instance_names())
     }
-    deployment = _Deployment(
+    deployment = _LoadDeployment(
         region="sk-west",
         instances=instances,
         engines=engines,
-        workspaces=tuple(WORKSPACE_LOADS),
+        workspaces=tuple(WORKSPACE_LOAD_SHARES),
         seed=seed,
         node_settings={"scheduling": scheduling},
     )
@@ -359,46 +376,46 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Deployment(Deployment):
+class _LoadDeployment(Deployment):
     def make_declaration(self) -> dict[str, Any]:
         return {**super().make_declaration(), "classes": CLASSES}
 
 
-def _name_engines() -> list[str]:
-    return [f"s{number:02d}" for number in range(ENGINES)]
+def _list_engine_names() -> list[str]:
+    return [f"s{number:02d}" for number in range(ENGINE_COUNT)]
 
 
-def _name_instances() -> list[str]:
-    return [f"n{number + 1}" for number in range(INSTANCES)]
+def _list_instance_names() -> list[str]:
+    return [f"n{number + 1}" for number in range(INSTANCE_COUNT)]
 
 
 def _sum_demands(records: Sequence[LoadRecord], window: Window) -> dict[str, float]:
     demands: dict[str, float] = {}
-    for record in measures.select(records, window):
+    for record in measures.select_records(records, window):
         asked = record["max_tokens"] / window.length_s
         demands[record["workspace"]] = demands.get(record["workspace"], 0.0) + asked
     return demands
 
 
-def _divide(value: float | None, by: float | None) -> float | None:
+def _compute_ratio(value: float | None, by: float | None) -> float | None:
     return round(value / by, 3) if value is not None and by else None
 
 
-def _count_attempts(records: Sequence[LoadRecord]) -> float | None:
+def _compute_mean_attempts(records: Sequence[LoadRecord]) -> float | None:
     if not records:
         return None
     return round(sum(record["attempts"] for record in records) / len(records), 3)
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Run the bench and print one JSON line a result."""
+    """Run the load benchmark and print one JSON line per result."""
     is_full = "--full" in arguments
-    bench = LoadBench(
+    options = LoadBenchOptions(
         loads=FULL_LOADS if is_full else SHORT_LOADS,
         seeds=range(1, 6) if is_full else (1,),
     )
     results = []
-    for result in run_load_bench(bench):
+    for result in run_load_bench(options):
         print(json.dumps(result), flush=True)
         results.append(result)
     if "--out" in arguments:
--- a/packages/standins/src/ebonyhaven_standins/bench/load_plots.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/load_plots.py
@@ -1,7 +1,7 @@
-"""Plots of recorded load results.
+"""Plots of the results of the load benchmark.
 
 ``python -m ebonyhaven_standins.bench.load_plots RESULTS.json FOLDER`` writes one SVG
-a figure.
+file per plot.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from typing import Any, NamedTuple
 
 
-class Figure(NamedTuple):
-    """One plot of a value against the load.
+class PlotSpec(NamedTuple):
+    """Plot of one figure against the offered load.
 
     Parameters
     ----------
     key : str
-        Member of the results.
+        Name of the figure in the results.
     label : str
-        Label of the axis, with its unit.
+        Label of the value axis, with its unit.
     target : float or None
-        Level that is drawn as the target.
+        Value that is drawn as a target line; None for no line.
     """
 
     key: str
@@ -32,16 +32,16 @@
     target: float | None = None
 
 
-FIGURES = (
-    Figure("look_up_p95_s", "look-up first token p95, s", 0.5),
-    Figure("analysis_p95_s", "analysis first token p95, s", 5.0),
-    Figure("goodput_of_offered", "goodput, share of min(load, capacity)", 0.95),
-    Figure("jain", "Jain's index of backlogged workspaces", 0.98),
+PLOT_SPECS = (
+    PlotSpec("look_up_p95_s", "look-up first token p95, s", 0.5),
+    PlotSpec("analysis_p95_s", "analysis first token p95, s", 5.0),
+    PlotSpec("goodput_of_offered", "goodput, share of min(load, capacity)", 0.95),
+    PlotSpec("jain", "Jain's index of backlogged workspaces", 0.98),
 )
 
 
 def plot_load(results: Sequence[dict[str, Any]], folder: pathlib.Path) -> None:
-    """Write the plots of the results that vary the load.
+    """Write the plots of the results of the ``load`` scenario.
 
     Parameters
     ----------
@@ -54,30 +54,30 @@
     from matplotlib import pyplot
 
     measured = [result for result in results if result["scenario"] == "load"]
-    for figure in FIGURES:
-        drawing, axes = pyplot.subplots(figsize=(5, 3.5))
+    for spec in PLOT_SPECS:
+        figure, axes = pyplot.subplots(figsize=(5, 3.5))
         for scheduling in dict.fromkeys(each["scheduling"] for each in measured):
-            points = _collect_points(measured, scheduling, figure.key)
+            points = _collect_points(measured, scheduling, spec.key)
             axes.plot(points.keys(), points.values(), marker="o", label=scheduling)
-        if figure.target is not None:
-            axes.axhline(figure.target, linestyle=":", color="grey", label="target")
+        if spec.target is not None:
+            axes.axhline(spec.target, linestyle=":", color="grey", label="target")
         axes.set_xlabel("load, share of capacity")
-        axes.set_ylabel(figure.label)
+        axes.set_ylabel(spec.label)
         axes.legend()
-        drawing.tight_layout()
-        drawing.savefig(folder / f"load-{figure.key}.svg")
-        pyplot.close(drawing)
+        figure.tight_layout()
+        figure.savefig(folder / f"load-{spec.key}.svg")
+        pyplot.close(figure)
 
 
 def _collect_points(
     results: Sequence[dict[str, Any]], scheduling: str, key: str
 ) -> dict[float, float]:
-    """Return the median over the seeds by load."""
+    """Return the median of a figure over the seeds, by load."""
     values: dict[float, list[float]] = {}
     for result in results:
         if result["scheduling"] == scheduling and result[key] is not None:
             values.setdefault(result["load"], []).append(result[key])
-    return {load: statistics.median(found) for load, found in sorted(values.items())}
+    return {load: statistics.median(group) for load, group in sorted(values.items())}
 
 
 if __name__ == "__main__":
--- a/packages/standins/src/ebonyhaven_standins/bench/membership.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/membership.py
@@ -1,4 +1,4 @@
-"""Cost and speed of membership against the count of instances.
+"""Cost and detection time of membership by number of instances.
 
 Run by ``python -m ebonyhaven_standins.bench.membership [--sizes 3,6,12]
 [--processes node|control] [--quiet-s 30] [--kills 5] [--faults-s 60] [--output FILE]``.
@@ -19,31 +19,31 @@
 from ebonyhaven_standins.bench._membership_measures import (
     Detection,
     FalseSuspicions,
-    QuietCost,
+    IdleCost,
     measure_detection,
     measure_false_suspicions,
-    measure_quiet,
+    measure_idle_cost,
 )
 from ebonyhaven_standins.bench._node_sets import ControlNodeSet, FullNodeSet, NodeSet
 
 SIZES = (3, 6, 12, 24, 48)
 TARGET_SIZE = 390
 SETTLE_S = 12.0
-LOSS = 0.01
+MESSAGE_LOSS_SHARE = 0.01
 MAX_BYTES_PER_S = 2048.0
 MAX_CPU_SHARE = 0.014
 NODE_SETS = {"control": ControlNodeSet, "node": FullNodeSet}
 
 
-def fit_costs(costs: list[QuietCost]) -> dict[str, list[Fit]]:
+def fit_costs(costs: list[IdleCost]) -> dict[str, list[Fit]]:
     """Fit each cost against the size and its logarithm.
 
-    Sizes at which an instance has fewer neighbours than at the target are left
-    out.
+    Excludes sizes at which an instance has fewer neighbours than at the target
+    size.
 
     Parameters
     ----------
-    costs : list of QuietCost
+    costs : list of IdleCost
 
     Returns
     -------
@@ -58,7 +58,7 @@
             fit_line(
                 sizes,
                 [cost[key] for cost in costs],
-                target=TARGET_SIZE,
+                target_size=TARGET_SIZE,
                 logarithmic=logarithmic,
             )
             for logarithmic in (False, True)
@@ -68,10 +68,10 @@
     }
 
 
-def list_beyond_target(fits: dict[str, list[Fit]]) -> list[str]:
-    """Return the costs whose extrapolation is beyond the target by either fit.
+def list_costs_over_limit(fits: dict[str, list[Fit]]) -> list[str]:
+    """Return the costs whose extrapolation by either fit exceeds its limit.
 
-    Bytes count in both directions together.
+    The limit on bytes applies to the sum of both directions.
 
     Parameters
     ----------
@@ -84,57 +84,58 @@
     if not fits:
         return []
     worst = {key: max(fit["extrapolated"] for fit in fits[key]) for key in fits}
-    beyond = []
+    over_limit = []
     if worst["sent_bytes_per_s"] + worst["received_bytes_per_s"] > MAX_BYTES_PER_S:
-        beyond.append("bytes_per_s")
+        over_limit.append("bytes_per_s")
     if worst["cpu_share"] > MAX_CPU_SHARE:
-        beyond.append("cpu_share")
-    return beyond
+        over_limit.append("cpu_share")
+    return over_limit
 
 
-def run_sizes(
+def measure_sizes(
     sizes: Iterable[int],
     *,
     node_set: type[NodeSet],
-    quiet_s: float,
+    idle_s: float,
     kills: int,
     faults_s: float,
     seed: int,
 ) -> dict[str, object]:
-    """Measure all sizes.
+    """Measure cost, detection and false suspicions at each size.
 
     Parameters
     ----------
     sizes : iterable of int
     node_set : type of NodeSet
-        What is started.
-    quiet_s : float
+        Kind of processes that are started.
+    idle_s : float
+        Length of the measurement of idle cost, seconds.
     kills : int
-        Kills at each size; 0 skips that part.
+        Number of kills at each size; 0 skips the measurement of detection.
     faults_s : float
-        Length of the part with loss and pauses; 0 skips it.
+        Length of the measurement with message loss and pauses, seconds; 0 skips it.
     seed : int
 
     Returns
     -------
     dict
-        JSON value.
+        Results as a JSON object.
     """
     rng = random.Random(seed)
-    costs: list[QuietCost] = []
+    costs: list[IdleCost] = []
     detections: list[Detection] = []
     suspicions: list[FalseSuspicions] = []
     for size in sizes:
         with node_set(size) as nodes:
             nodes.wait_for_agreement()
             time.sleep(SETTLE_S)
-            costs.append(measure_quiet(nodes, quiet_s))
+            costs.append(measure_idle_cost(nodes, idle_s))
             print(json.dumps(costs[-1]), flush=True)
             if kills:
                 detections.append(measure_detection(nodes, kills, rng))
                 print(json.dumps(detections[-1]), flush=True)
         if faults_s:
-            with node_set(size, loss=LOSS) as nodes:
+            with node_set(size, loss=MESSAGE_LOSS_SHARE) as nodes:
                 nodes.wait_for_agreement()
                 suspicions.append(measure_false_suspicions(nodes, faults_s, rng))
                 print(json.dumps(suspicions[-1]), flush=True)
@@ -144,7 +145,7 @@
         "processes": node_set.__name__,
         "costs": costs,
         "fits": fits,
-        "beyond_target": list_beyond_target(fits),
+        "beyond_target": list_costs_over_limit(fits),
         "detection": detections,
         "false_suspicions": suspicions,
     }
@@ -161,10 +162,10 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--output", type=pathlib.Path)
     options = parser.parse_args()
-    result = run_sizes(
+    result = measure_sizes(
         map(int, options.sizes.split(",")),
         node_set=NODE_SETS[options.processes],
-        quiet_s=options.quiet_s,
+        idle_s=options.quiet_s,
         kills=options.kills,
         faults_s=options.faults_s,
         seed=options.seed,
--- a/tests/standins/test_load_measures.py
+++ b/tests/standins/test_load_measures.py
@@ -1,10 +1,10 @@
 from __future__ import annotations
 
 from ebonyhaven_standins.bench import _load_measures as measures
-from ebonyhaven_standins.bench._load_measures import Limits, Window
-from ebonyhaven_standins.bench._open_loop import read_refusal
+from ebonyhaven_standins.bench._load_measures import LatencyTargets, Window
+from ebonyhaven_standins.bench._open_loop import parse_error_outcome
 
-LIMITS = {"look-up": Limits(first_token_s=0.5, gap_s=0.062)}
+LIMITS = {"look-up": LatencyTargets(first_token_s=0.5, gap_s=0.062)}
 
 
 def make_record(**options):
@@ -39,9 +39,9 @@
 
 
 def test_jain_index_of_equal_and_unequal_service():
-    assert measures.compute_jain([5, 5, 5]) == 1.0
-    assert measures.compute_jain([1, 0, 0]) == 0.3333
-    assert measures.compute_jain([0, 0]) is None
+    assert measures.compute_jain_index([5, 5, 5]) == 1.0
+    assert measures.compute_jain_index([1, 0, 0]) == 0.3333
+    assert measures.compute_jain_index([0, 0]) is None
 
 
 def test_backlogged_workspaces_exceed_their_max_min_share():
@@ -70,6 +70,9 @@
 
 def test_refusal_is_parsed_with_retry_delay():
     text = b'{"error": {"outcome": "not_run", "retry_after_s": 2.5}}'
-    assert read_refusal(text) == ("refused", 2.5)
-    assert read_refusal(b'{"error": {"outcome": "unknown"}}') == ("unknown", None)
-    assert read_refusal(b"nonsense") == ("malformed", None)
+    assert parse_error_outcome(text) == ("refused", 2.5)
+    assert parse_error_outcome(b'{"error": {"outcome": "unknown"}}') == (
+        "unknown",
+        None,
+    )
+    assert parse_error_outcome(b"nonsense") == ("malformed", None)
