--- a/tests/integration/test_bad_input.py
+++ b/tests/integration/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a precise error and never another caller's tokens."""
+"""Invalid requests get a precise error and never tokens of another caller."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from tests.integration.trials import OTHER_WORKSPACE, deploy, make_prompt
 
 
-def expect_refusal(trial, *, status, headers, body, names):
-    answer = trial.call("n1", headers=headers, body=body)
+def check_refusal(system, *, status, headers, body, reason_part):
+    answer = system.call("n1", headers=headers, body=body)
     assert answer[0] == status, answer
     error = json.loads(answer[1])["error"]
     assert error["outcome"] == "not_run"
-    assert names in error["reason"], error
-    assert trial.lines("refuse") == []
+    assert reason_part in error["reason"], error
+    assert system.find_log_lines("refuse") == []
 
 
-def test_malformed_requests_are_refused_and_named():
-    with deploy(engines=1, instances=1) as trial:
+def test_malformed_requests_are_refused_with_a_precise_reason():
+    with deploy(engines=1, instances=1) as system:
         body = make_body("p")
         cases = [
             (400, {"Ebonyhaven-Class": "other"}, body, "other"),
@@ -35,60 +35,65 @@
             (400, {}, b"[]", "object"),
             (413, {}, {**body, "prompt": "x" * 3_000_000}, "bytes"),
         ]
-        for status, changes, bad, names in cases:
-            expect_refusal(
-                trial,
+        for status, changes, bad_body, reason_part in cases:
+            check_refusal(
+                system,
                 status=status,
                 headers=make_headers("k1", **changes),
-                body=bad,
-                names=names,
+                body=bad_body,
+                reason_part=reason_part,
             )
-        assert trial.lines("start") == []
+        assert system.find_log_lines("start") == []
 
 
 def test_a_key_reused_with_a_different_body_is_refused_at_every_instance():
-    with deploy(engines=2, instances=2) as trial:
-        first = trial.send(at="n1", repeatable=False, max_tokens=40)
+    with deploy(engines=2, instances=2) as system:
+        first = system.send(at="n1", repeatable=False, max_tokens=40)
         first.wait_for_tokens(1)
         for name in ("n1", "n2"):
             headers = make_headers(first.request.key, **{"Ebonyhaven-Class": "steady"})
-            answer = trial.call(name, headers=headers, body=make_body("other", 40))
+            answer = system.call(name, headers=headers, body=make_body("other", 40))
             assert answer[0] == 409, answer
             assert b"different body" in answer[1]
-        trial.finish_completed()
+        system.wait_and_check_completed()
 
 
-def test_positions_of_other_callers_give_none_of_their_tokens():
-    with deploy(engines=2, instances=2) as trial:
-        first = trial.send(at="n1", max_tokens=250)
+def test_event_ids_of_other_callers_return_none_of_their_tokens():
+    with deploy(engines=2, instances=2) as system:
+        first = system.send(at="n1", max_tokens=250)
         first.wait_for_tokens(20)
         token = first._find_record()["tokens"][10]
         position = f"{token.offset}-{token.generation}-{token.server}"
-        stolen = {"Last-Event-ID": position, "Ebonyhaven-Repeatable": "yes"}
+        foreign_headers = {"Last-Event-ID": position, "Ebonyhaven-Repeatable": "yes"}
         body = make_body(first.request.prompt, first.request.max_tokens)
         cases = [
-            # The key and position of another workspace.
-            (first.request.key, {**stolen, "Ebonyhaven-Workspace": OTHER_WORKSPACE}),
-            # The position under another key.
-            ("k2", stolen),
-            # A forged generation under the right key.
-            (first.request.key, {**stolen, "Last-Event-ID": "10-00000000-e1"}),
-            # A server that does not exist.
-            ("k3", {**stolen, "Last-Event-ID": "10-00000000-e99"}),
+            # The key and event ID of a request of another workspace.
+            (
+                first.request.key,
+                {**foreign_headers, "Ebonyhaven-Workspace": OTHER_WORKSPACE},
+            ),
+            # The event ID of a request with another key.
+            ("k2", foreign_headers),
+            # The right key with a forged generation in the event ID.
+            (first.request.key, {**foreign_headers, "Last-Event-ID": "10-00000000-e1"}),
+            # An event ID with an unknown server.
+            ("k3", {**foreign_headers, "Last-Event-ID": "10-00000000-e99"}),
         ]
         origin = token.text.partition(":")[0].encode()
         for name in ("n1", "n2"):
             for key, changes in cases:
-                answer = trial.call(
+                answer = system.call(
                     name, headers=make_headers(key, **changes), body=body
                 )
                 assert origin not in answer[1], (key, changes, answer[1][:300])
                 assert b'"error"' in answer[1], answer[1][:300]
-        trial.finish_completed()
+        system.wait_and_check_completed()
 
 
-def test_received_texts_that_do_not_match_the_position_are_refused():
-    with deploy(engines=1, instances=1) as trial:
+def test_received_texts_that_do_not_match_the_event_id_are_refused():
+    with deploy(engines=1, instances=1) as system:
         headers = make_headers("k1", **{"Last-Event-ID": "3-9f3a61c2-e1"})
         body = {**make_body(make_prompt()), "received": ["a", "b"]}
-        expect_refusal(trial, status=400, headers=headers, body=body, names="received")
+        check_refusal(
+            system, status=400, headers=headers, body=body, reason_part="received"
+        )
--- a/tests/integration/test_demo_path.py
+++ b/tests/integration/test_demo_path.py
@@ -1,4 +1,7 @@
-"""The whole path with real processes: losses mid-stream, whole answers."""
+"""End-to-end scenarios with real processes.
+
+An engine or an instance is killed while it streams; all answers must be complete.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 from tests.reactor_thread import run_in_reactor
 
 DEADLINE_S = 150.0
-# Long enough that every stream is under way when the losses come.
+# Long enough that all analysis streams are still open when the process is killed.
 LONG_TOKENS = 160
 RESUME_TARGET_S = 2.0
 
@@ -85,7 +88,7 @@
         return check(evidence), count_unavoidable_unknowns(evidence.records)
 
 
-def check_whole(report, unavoidable_unknowns):
+def check_answers_complete(report, unavoidable_unknowns):
     assert report.passed, report.violations
     assert report.requests == len(make_arrivals())
     assert report.completed + unavoidable_unknowns == report.requests
@@ -95,13 +98,13 @@
 
 def test_answers_are_whole_when_an_engine_is_killed():
     report, unavoidable_unknowns = run_scenario(TimedAction(2.5, kill_busiest_engine))
-    check_whole(report, unavoidable_unknowns)
+    check_answers_complete(report, unavoidable_unknowns)
     assert report.resume_latency.count > 0
     assert report.resume_latency.p50 < RESUME_TARGET_S
 
 
 def test_answers_are_whole_when_an_instance_is_killed():
     report, unavoidable_unknowns = run_scenario(TimedAction(2.5, kill_busiest_instance))
-    check_whole(report, unavoidable_unknowns)
+    check_answers_complete(report, unavoidable_unknowns)
     assert report.resume_latency.count > 0
     assert report.resume_latency.p50 < RESUME_TARGET_S
--- a/tests/integration/test_entries.py
+++ b/tests/integration/test_entries.py
@@ -7,14 +7,14 @@
 from ebonyhaven_standins.cluster import Cluster
 
 DEADLINE_S = 40.0
-OUT_OF_LISTS_S = 3.0
-ANSWERS = 6
-NAMES = ("n1", "n2", "n3")
+ENTRY_REMOVAL_TARGET_S = 3.0
+QUERIES_PER_INSTANCE = 6
+INSTANCES = ("n1", "n2", "n3")
 
 
 def list_offered(cluster: Cluster, name: str) -> set[str]:
     offered = set()
-    for _ in range(ANSWERS):
+    for _ in range(QUERIES_PER_INSTANCE):
         url = f"http://{cluster.addresses[name]}/v1/entries"
         with urllib.request.urlopen(url, timeout=DEADLINE_S) as answer:
             offered |= {entry["instance"] for entry in json.load(answer)["entries"]}
@@ -24,43 +24,45 @@
 def wait_until_offered(cluster: Cluster, expected: dict[str, set[str]]) -> float:
     started = time.monotonic()
     while any(list_offered(cluster, n) != names for n, names in expected.items()):
-        assert time.monotonic() - started < DEADLINE_S, "not reached in time"
+        assert time.monotonic() - started < DEADLINE_S, (
+            "entries not as expected in time"
+        )
         time.sleep(0.02)
     return time.monotonic() - started
 
 
-def start_settled(cluster: Cluster) -> None:
+def start_converged(cluster: Cluster) -> None:
     cluster.start_platform()
-    for name in NAMES:
+    for name in INSTANCES:
         cluster.start_node(name, wait=False)
     cluster.wait_until_ready()
-    wait_until_offered(cluster, {name: set(NAMES) for name in NAMES})
+    wait_until_offered(cluster, {name: set(INSTANCES) for name in INSTANCES})
 
 
 def test_killed_instance_is_not_offered_although_the_platform_lists_it():
     with Cluster() as cluster:
-        start_settled(cluster)
+        start_converged(cluster)
         cluster.kill("n1")
-        rest = {"n2", "n3"}
-        took_s = wait_until_offered(cluster, dict.fromkeys(rest, rest))
-        assert took_s <= OUT_OF_LISTS_S, took_s
+        survivors = {"n2", "n3"}
+        took_s = wait_until_offered(cluster, dict.fromkeys(survivors, survivors))
+        assert took_s <= ENTRY_REMOVAL_TARGET_S, took_s
 
 
-def test_instances_find_each_other_and_the_dead_while_the_platform_is_out():
+def test_instances_detect_joins_and_deaths_during_a_platform_outage():
     with Cluster() as cluster:
-        start_settled(cluster)
+        start_converged(cluster)
         cluster.platform.set_faults(outage=True, refuse_list=True)
         cluster.kill("n1")
         wait_until_offered(cluster, dict.fromkeys(("n2", "n3"), {"n2", "n3"}))
         seeds = {"n2": cluster.control_addresses["n2"]}
         cluster.start_node("n4", register=False, control_seeds=seeds)
-        now = {"n2", "n3", "n4"}
-        wait_until_offered(cluster, dict.fromkeys(now, now))
+        expected = {"n2", "n3", "n4"}
+        wait_until_offered(cluster, dict.fromkeys(expected, expected))
 
 
-def test_instance_that_leaves_gracefully_is_not_offered_from_the_start():
+def test_gracefully_stopped_instance_is_not_offered():
     with Cluster() as cluster:
-        start_settled(cluster)
+        start_converged(cluster)
         cluster.terminate("n1")
-        rest = {"n2", "n3"}
-        wait_until_offered(cluster, dict.fromkeys(rest, rest))
+        survivors = {"n2", "n3"}
+        wait_until_offered(cluster, dict.fromkeys(survivors, survivors))
--- a/tests/integration/test_listing.py
+++ b/tests/integration/test_listing.py
@@ -22,7 +22,7 @@
         return answer.read()
 
 
-def complete_in_the_end(address: str) -> bytes:
+def complete_with_retries(address: str) -> bytes:
     started = time.monotonic()
     while True:
         try:
@@ -32,7 +32,7 @@
             time.sleep(0.2)
 
 
-def test_new_instance_learns_the_servers_from_others_while_the_list_is_out():
+def test_new_instance_gets_the_servers_from_peers_while_the_platform_refuses_lists():
     deployment = Deployment(
         region="r1",
         instances={"n1": "dc-a", "n2": "dc-a"},
@@ -41,8 +41,8 @@
     )
     with Cluster() as cluster:
         start_deployment(cluster, deployment)
-        complete_in_the_end(cluster.addresses["n1"])
+        complete_with_retries(cluster.addresses["n1"])
         cluster.platform.set_faults(refuse_list=True)
         seeds = {"n1": cluster.control_addresses["n1"]}
         cluster.start_node("n3", register=False, control_seeds=seeds)
-        assert b"[DONE]" in complete_in_the_end(cluster.addresses["n3"])
+        assert b"[DONE]" in complete_with_retries(cluster.addresses["n3"])
--- a/tests/integration/test_losses.py
+++ b/tests/integration/test_losses.py
@@ -1,164 +1,170 @@
-"""Engines and instances die, pause and fall silent while they stream."""
+"""Engines and instances that crash, pause or stop sending during a stream."""
 
 from __future__ import annotations
 
 import time
 
-from tests.integration.trials import deploy, describe_end, make_prompt, wait_until
+from tests.integration.trials import deploy, describe_outcome, make_prompt, wait_until
 
 PAUSE_S = 4.0
 
 
-def test_streams_go_on_after_their_engine_is_killed():
-    with deploy() as trial:
-        streams = [trial.send() for _ in range(3)]
-        streams.append(trial.send(repeatable=False))
+def test_streams_resume_after_their_engine_is_killed():
+    with deploy() as system:
+        streams = [system.send() for _ in range(3)]
+        streams.append(system.send(repeatable=False))
         for stream in streams:
             stream.wait_for_tokens(20)
-        trial.kill_engine(streams[-1].server)
-        report = trial.finish_completed()
+        system.kill_engine(streams[-1].server)
+        report = system.wait_and_check_completed()
         assert report.unresumed == 0
-        assert len(trial.lines("start")) == len(streams)
-        assert trial.lines("continue", streams[-1])
+        assert len(system.find_log_lines("start")) == len(streams)
+        assert system.find_log_lines("continue", streams[-1])
 
 
-def test_a_paused_engine_that_returns_adds_nothing():
-    with deploy() as trial:
-        stream = trial.send(max_tokens=400)
+def test_an_engine_that_resumes_after_a_pause_adds_no_tokens():
+    with deploy() as system:
+        stream = system.send(max_tokens=400)
         stream.wait_for_tokens(20)
         paused = stream.server
-        trial.cluster.pause(paused)
+        system.cluster.pause(paused)
         wait_until(lambda: stream.server != paused, "tokens of another engine")
-        time.sleep(PAUSE_S)  # the length of the pause, not a wait for an effect
-        trial.cluster.resume(paused)
-        trial.finish_completed()
-        cancelled = {line.server for line in trial.lines("cancel", stream)}
+        time.sleep(PAUSE_S)  # duration of the pause, not a wait for a condition
+        system.cluster.resume(paused)
+        system.wait_and_check_completed()
+        cancelled = {line.server for line in system.find_log_lines("cancel", stream)}
         assert paused in cancelled
 
 
 def test_a_silent_connection_is_replaced_without_computing_a_token_twice():
-    with deploy(link_engines=True) as trial:
-        stream = trial.send(max_tokens=250)
+    with deploy(engines_behind_proxy=True) as system:
+        stream = system.send(max_tokens=250)
         stream.wait_for_tokens(20)
-        trial.cluster.set_fault("silence_open", link=f"link-{stream.server}")
-        trial.finish_completed()
-        assert trial.lines("attach", stream)
-        assert trial.count_decoded(stream) == 250
+        system.cluster.set_fault("silence_open", link=f"link-{stream.server}")
+        system.wait_and_check_completed()
+        assert system.find_log_lines("attach", stream)
+        assert system.count_decoded_tokens(stream) == 250
 
 
 def test_a_reset_connection_is_replaced_without_computing_a_token_twice():
-    with deploy(link_engines=True) as trial:
-        stream = trial.send(max_tokens=150, repeatable=False)
+    with deploy(engines_behind_proxy=True) as system:
+        stream = system.send(max_tokens=150, repeatable=False)
         stream.wait_for_tokens(20)
-        trial.cluster.set_fault("reset", link=f"link-{stream.server}")
-        trial.finish_completed()
-        assert trial.lines("attach", stream)
-        assert trial.count_decoded(stream) == 150
+        system.cluster.set_fault("reset", link=f"link-{stream.server}")
+        system.wait_and_check_completed()
+        assert system.find_log_lines("attach", stream)
+        assert system.count_decoded_tokens(stream) == 150
 
 
-def test_a_stream_goes_on_at_another_instance_after_its_own_is_killed():
-    with deploy() as trial:
-        streams = [trial.send(max_tokens=150, repeatable=r) for r in (True, False)]
+def test_a_stream_resumes_at_another_instance_after_its_instance_is_killed():
+    with deploy() as system:
+        streams = [system.send(max_tokens=150, repeatable=r) for r in (True, False)]
         for stream in streams:
             stream.wait_for_tokens(20)
-        trial.kill_instance(streams[0].address)
-        trial.finish_completed()
+        system.kill_instance(streams[0].address)
+        system.wait_and_check_completed()
         for stream in streams:
-            assert len(trial.lines("start", stream)) == 1
-            assert trial.count_decoded(stream) == 150
+            assert len(system.find_log_lines("start", stream)) == 1
+            assert system.count_decoded_tokens(stream) == 150
 
 
-def test_a_stream_goes_on_after_engine_and_instance_are_killed_together():
-    with deploy(engines=3, instances=3) as trial:
-        streams = [trial.send(max_tokens=150, repeatable=r) for r in (True, False)]
+def test_a_stream_resumes_after_engine_and_instance_are_killed_together():
+    with deploy(engines=3, instances=3) as system:
+        streams = [system.send(max_tokens=150, repeatable=r) for r in (True, False)]
         for stream in streams:
             stream.wait_for_tokens(20)
-        trial.kill_engine(streams[0].server)
-        trial.kill_instance(streams[0].address)
-        trial.finish_completed()
-        assert len(trial.lines("start")) == len(streams)
+        system.kill_engine(streams[0].server)
+        system.kill_instance(streams[0].address)
+        system.wait_and_check_completed()
+        assert len(system.find_log_lines("start")) == len(streams)
 
 
-def test_a_stream_survives_the_loss_of_two_engines_after_each_other():
-    with deploy(engines=3) as trial:
-        stream = trial.send(max_tokens=250)
+def test_a_stream_survives_the_loss_of_two_engines_in_succession():
+    with deploy(engines=3) as system:
+        stream = system.send(max_tokens=250)
         for count in (20, 100):
             stream.wait_for_tokens(count)
-            trial.kill_engine(stream.server)
-        trial.finish_completed()
+            system.kill_engine(stream.server)
+        system.wait_and_check_completed()
 
 
-def test_a_partition_from_the_engine_and_its_end():
-    with deploy(link_engines=True) as trial:
-        stream = trial.send(max_tokens=400)
+def test_a_stream_survives_a_partition_from_its_engine_that_heals():
+    with deploy(engines_behind_proxy=True) as system:
+        stream = system.send(max_tokens=400)
         stream.wait_for_tokens(20)
         first = stream.server
-        trial.cluster.set_fault("partition", link=f"link-{first}")
+        system.cluster.set_fault("partition", link=f"link-{first}")
         wait_until(lambda: stream.server != first, "tokens of another engine")
-        trial.cluster.set_fault("none", link=f"link-{first}")
-        trial.finish_completed()
+        system.cluster.set_fault("none", link=f"link-{first}")
+        system.wait_and_check_completed()
 
 
-def test_a_return_to_an_engine_with_an_older_branch_of_the_run():
-    with deploy(engines=2, link_engines=True) as trial:
-        stream = trial.send(max_tokens=500)
+def test_a_stream_resumes_on_an_engine_that_has_an_older_branch_of_its_run():
+    with deploy(engines=2, engines_behind_proxy=True) as system:
+        stream = system.send(max_tokens=500)
         stream.wait_for_tokens(20)
         first = stream.server
-        trial.cluster.set_fault("partition", link=f"link-{first}")
+        system.cluster.set_fault("partition", link=f"link-{first}")
         wait_until(lambda: stream.server != first, "tokens of another engine")
         second = stream.server
         stream.wait_for_tokens(stream.count_tokens() + 20)
-        trial.cluster.set_fault("none", link=f"link-{first}")
-        trial.kill_engine(second)
-        trial.finish_completed()
+        system.cluster.set_fault("none", link=f"link-{first}")
+        system.kill_engine(second)
+        system.wait_and_check_completed()
 
 
-def check_crashing_request(neighbours_at):
-    with deploy(engines=4) as trial:
-        neighbours = [trial.send(max_tokens=250, at=neighbours_at) for _ in range(4)]
-        for stream in neighbours:
+def check_crashing_request(other_streams_at):
+    with deploy(engines=4) as system:
+        other_streams = [
+            system.send(max_tokens=250, at=other_streams_at) for _ in range(4)
+        ]
+        for stream in other_streams:
             stream.wait_for_tokens(20)
-        poison = f"{make_prompt()} [[crash]]"
-        guilty = trial.send(poison, at="n1", total_timeout_s=20.0)
-        record = guilty.result()
+        crashing_prompt = f"{make_prompt()} [[crash]]"
+        crashing_stream = system.send(crashing_prompt, at="n1", total_timeout_s=20.0)
+        record = crashing_stream.result()
         assert record["outcome"] == "failed", record["connections"]
-        begun = len(trial.lines("start"))
-        again = trial.send(poison, at="n1", total_timeout_s=20.0)
-        assert again.result()["outcome"] == "not_run"
-        assert len(trial.lines("start")) == begun
-        assert len(trial.lines("crash")) <= 2
-        for stream in neighbours:
+        start_count = len(system.find_log_lines("start"))
+        repeated_stream = system.send(crashing_prompt, at="n1", total_timeout_s=20.0)
+        assert repeated_stream.result()["outcome"] == "not_run"
+        assert len(system.find_log_lines("start")) == start_count
+        assert len(system.find_log_lines("crash")) <= 2
+        for stream in other_streams:
             record = stream.result()
-            assert record["outcome"] == "completed", describe_end(record)
-        # Both requests have one content, so the checker cannot tell their runs
-        # apart; that the second did not run is checked above.
-        trial.finish(apart_from=again)
+            assert record["outcome"] == "completed", describe_outcome(record)
+        # Both requests have the same prompt, so the checker cannot distinguish their
+        # runs. The assertions above show that the second one did not run.
+        system.wait_and_check(excluded=repeated_stream)
 
 
-def test_a_request_that_crashes_engines_stops_after_two_and_spares_its_neighbours():
+def test_a_request_that_crashes_engines_stops_after_two_and_other_streams_complete():
     check_crashing_request("n1")
 
 
 def test_a_request_that_crashes_engines_behind_a_proxy_stops_after_two():
-    with deploy(engines=4, instances=1, link_engines=True) as trial:
-        guilty = trial.send(f"{make_prompt()} [[crash]]", total_timeout_s=20.0)
-        assert guilty.result()["outcome"] == "failed", describe_end(guilty.result())
-        assert len(trial.lines("crash")) <= 2
-        trial.finish()
-
-
-def test_a_request_that_crashes_engines_spares_neighbours_at_another_instance():
+    with deploy(engines=4, instances=1, engines_behind_proxy=True) as system:
+        crashing_stream = system.send(
+            f"{make_prompt()} [[crash]]", total_timeout_s=20.0
+        )
+        assert crashing_stream.result()["outcome"] == "failed", describe_outcome(
+            crashing_stream.result()
+        )
+        assert len(system.find_log_lines("crash")) <= 2
+        system.wait_and_check()
+
+
+def test_a_request_that_crashes_engines_leaves_streams_at_another_instance_complete():
     check_crashing_request("n2")
 
 
 def test_a_crashing_request_under_a_new_key_is_stopped_at_another_instance():
-    with deploy(engines=4) as trial:
-        poison = f"{make_prompt()} [[crash]]"
-        assert trial.send(poison, at="n1").result()["outcome"] == "failed"
-        time.sleep(3.0)  # instances may take this long to share their suspicions
-        begun = len(trial.lines("start"))
-        again = trial.send(poison, at="n2", total_timeout_s=10.0)
-        assert again.result()["outcome"] == "not_run"
-        assert len(trial.lines("start")) == begun
-        assert len(trial.lines("crash")) <= 2
-        trial.finish(apart_from=again)
+    with deploy(engines=4) as system:
+        crashing_prompt = f"{make_prompt()} [[crash]]"
+        assert system.send(crashing_prompt, at="n1").result()["outcome"] == "failed"
+        time.sleep(3.0)  # time within which instances exchange their crash reports
+        start_count = len(system.find_log_lines("start"))
+        repeated_stream = system.send(crashing_prompt, at="n2", total_timeout_s=10.0)
+        assert repeated_stream.result()["outcome"] == "not_run"
+        assert len(system.find_log_lines("start")) == start_count
+        assert len(system.find_log_lines("crash")) <= 2
+        system.wait_and_check(excluded=repeated_stream)
--- a/tests/integration/test_membership.py
+++ b/tests/integration/test_membership.py
@@ -5,37 +5,37 @@
 from ebonyhaven_standins.control_node_processes import ControlNodeProcesses
 
 DEADLINE_S = 40.0
-OUT_OF_LISTS_S = 3.0
-COUNT = 6
+ENTRY_REMOVAL_TARGET_S = 3.0
+NODE_COUNT = 6
 
 
 def wait_until(condition) -> float:
     started = time.monotonic()
     while not condition():
-        assert time.monotonic() - started < DEADLINE_S, "not reached in time"
+        assert time.monotonic() - started < DEADLINE_S, "condition not met in time"
         time.sleep(0.02)
     return time.monotonic() - started
 
 
-def start_settled(count: int = COUNT) -> ControlNodeProcesses:
+def start_converged(count: int = NODE_COUNT) -> ControlNodeProcesses:
     nodes = ControlNodeProcesses(count)
     wait_until(nodes.has_converged)
     return nodes
 
 
 def test_killed_instance_leaves_the_entry_lists_and_its_successor_enters():
-    with start_settled() as nodes:
+    with start_converged() as nodes:
         others = [name for name in nodes.names if name != "n1"]
         nodes.child("n1").kill()
         took_s = wait_until(lambda: all("n1" not in nodes.list_live(n) for n in others))
-        assert took_s <= OUT_OF_LISTS_S, took_s
+        assert took_s <= ENTRY_REMOVAL_TARGET_S, took_s
         assert all("n1" not in nodes.list_entry_instances(name) for name in others)
         nodes.start("n1", wait=True)
         wait_until(nodes.has_converged)
 
 
-def test_paused_instance_is_offered_again_after_it_goes_on():
-    with start_settled() as nodes:
+def test_paused_instance_is_offered_again_after_it_resumes():
+    with start_converged() as nodes:
         others = [name for name in nodes.names if name != "n1"]
         nodes.child("n1").pause()
         wait_until(lambda: all("n1" not in nodes.list_live(n) for n in others))
@@ -44,8 +44,8 @@
         wait_until(lambda: nodes.list_live("n1") == set(nodes.names))
 
 
-def test_leaving_instance_is_offered_by_nobody():
-    with start_settled(3) as nodes:
+def test_leaving_instance_is_offered_by_no_instance():
+    with start_converged(3) as nodes:
         nodes.call("n1", "/leave", method="POST")
         wait_until(lambda: all("n1" not in nodes.list_live(n) for n in nodes.names))
         assert all(
@@ -54,7 +54,7 @@
 
 
 def test_survivor_of_two_offers_only_itself():
-    with start_settled(2) as nodes:
+    with start_converged(2) as nodes:
         nodes.child("n1").kill()
         took_s = wait_until(lambda: nodes.list_entry_instances("n0") == {"n0"})
-        assert took_s <= OUT_OF_LISTS_S, took_s
+        assert took_s <= ENTRY_REMOVAL_TARGET_S, took_s
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -14,15 +14,21 @@
 from tests.integration.test_configuration import DECLARATION
 from tests.waiting import wait_until
 
-LEASE = "leases/orders-drafting"
+LEASE_ROW = "leases/orders-drafting"
 LONGEST_PAUSE_S = 3.0
 INSTANCES = ("n1", "n2", "n3")
 ENGINES = ("s1", "s2")
 TAKEOVER_DEADLINE_S = 90.0
 
 
-class Ordering(Cluster):
-    """Three instances and two engines that either check fences or do not."""
+class ControllerCluster(Cluster):
+    """Three instances that send orders to two engines.
+
+    Parameters
+    ----------
+    checks_fence : bool
+        Whether the engines check fencing numbers.
+    """
 
     def __init__(self, *, checks_fence: bool):
         super().__init__()
@@ -53,11 +59,11 @@
         self.versions = [*self.versions, version]
         self.declare_versions()
 
-    def lease(self) -> dict[str, Any]:
-        row = self.platform.read_row(LEASE)
+    def read_lease(self) -> dict[str, Any]:
+        row = self.platform.read_row(LEASE_ROW)
         return row["value"] if row else {"holder": "", "fence": 0}
 
-    def state(self, engine: str) -> dict[str, Any]:
+    def read_state(self, engine: str) -> dict[str, Any]:
         url = f"http://{self.addresses[engine]}/v1/state"
         with urllib.request.urlopen(url, timeout=10.0) as answer:
             return json.load(answer)
@@ -66,12 +72,14 @@
         wanted = {f"dossier/{version}" for version in self.versions}
 
         def all_loaded() -> bool:
-            return all(wanted <= set(self.state(name)["versions"]) for name in ENGINES)
+            return all(
+                wanted <= set(self.read_state(name)["versions"]) for name in ENGINES
+            )
 
         wait_until(all_loaded, deadline_s=TAKEOVER_DEADLINE_S)
 
-    def list_sent(self, instance: str) -> list[dict[str, Any]]:
-        """Return the orders that an instance logged, with their times."""
+    def read_sent_orders(self, instance: str) -> list[dict[str, Any]]:
+        """Return the log lines of the orders that an instance sent."""
         lines = self.child(instance).log_path.read_text().splitlines()
         return [
             json.loads(line)
@@ -79,17 +87,17 @@
             if '"order_sent"' in line and line.endswith("}")
         ]
 
-    def list_sent_by_all(self, server: str, name: str) -> list[int]:
-        """Return the fencing numbers of the orders to a server about a name."""
+    def list_sent_fences(self, server: str, name: str) -> list[int]:
+        """Return the fencing numbers of all orders to a server for a model version."""
         return [
             order["fence"]
             for instance in INSTANCES
-            for order in self.list_sent(instance)
+            for order in self.read_sent_orders(instance)
             if (order["server"], order["name"]) == (server, name)
         ]
 
     def send_stale_order(self, engine: str, fence: int, name: str) -> int:
-        """Send what a holder that was paused would still send."""
+        """Send an order as a former lease holder would and return the HTTP status."""
         order = {
             "order_id": uuid.uuid4().hex,
             "kind": "unload",
@@ -109,13 +117,19 @@
         except urllib.error.HTTPError as error:
             return error.code
 
-    def take_over(self) -> dict[str, Any]:
-        """Pause the holder until another instance holds the lease."""
-        first = self.lease()
+    def pause_holder_until_takeover(self) -> dict[str, Any]:
+        """Pause the lease holder until another instance has acquired the lease.
+
+        Returns
+        -------
+        dict
+            The lease before the pause.
+        """
+        first = self.read_lease()
         self.pause(first["holder"])
         paused_at = time.monotonic()
         wait_until(
-            lambda: self.lease()["fence"] > first["fence"],
+            lambda: self.read_lease()["fence"] > first["fence"],
             deadline_s=TAKEOVER_DEADLINE_S,
         )
         renewals_s = LeaseTiming().renew_after_s + 2.0
@@ -125,51 +139,53 @@
 
 
 def test_paused_holder_is_replaced_and_its_late_order_is_refused():
-    with Ordering(checks_fence=True) as ordering:
-        ordering.wait_for_versions()
-        first = ordering.take_over()
-        ordering.add_version("2")
-        ordering.wait_for_versions()
-        second = ordering.lease()
+    with ControllerCluster(checks_fence=True) as cluster:
+        cluster.wait_for_versions()
+        first = cluster.pause_holder_until_takeover()
+        cluster.add_version("2")
+        cluster.wait_for_versions()
+        second = cluster.read_lease()
         assert second["holder"] != first["holder"]
-        assert all(ordering.state(name)["fence"] > first["fence"] for name in ENGINES)
-        sent_before = len(ordering.list_sent(first["holder"]))
-        ordering.resume(first["holder"])
-        status = ordering.send_stale_order("s1", first["fence"], "dossier/2")
+        assert all(
+            cluster.read_state(name)["fence"] > first["fence"] for name in ENGINES
+        )
+        sent_before = len(cluster.read_sent_orders(first["holder"]))
+        cluster.resume(first["holder"])
+        status = cluster.send_stale_order("s1", first["fence"], "dossier/2")
         assert status == 409
-        assert "dossier/2" in ordering.state("s1")["versions"]
-        ordering.add_version("3")
-        ordering.wait_for_versions()
-        sent_after = ordering.list_sent(first["holder"])[sent_before:]
+        assert "dossier/2" in cluster.read_state("s1")["versions"]
+        cluster.add_version("3")
+        cluster.wait_for_versions()
+        sent_after = cluster.read_sent_orders(first["holder"])[sent_before:]
         assert all(order["fence"] > first["fence"] for order in sent_after)
-        assert min(ordering.list_sent_by_all("s1", "dossier/3")) >= second["fence"]
+        assert min(cluster.list_sent_fences("s1", "dossier/3")) >= second["fence"]
 
 
 def test_late_order_that_an_engine_obeys_is_put_right():
-    with Ordering(checks_fence=False) as ordering:
-        ordering.wait_for_versions()
-        first = ordering.take_over()
-        ordering.add_version("2")
-        ordering.wait_for_versions()
-        ordering.resume(first["holder"])
-        status = ordering.send_stale_order("s1", first["fence"], "dossier/2")
+    with ControllerCluster(checks_fence=False) as cluster:
+        cluster.wait_for_versions()
+        first = cluster.pause_holder_until_takeover()
+        cluster.add_version("2")
+        cluster.wait_for_versions()
+        cluster.resume(first["holder"])
+        status = cluster.send_stale_order("s1", first["fence"], "dossier/2")
         assert status == 200
         wait_until(
-            lambda: len(ordering.list_sent_by_all("s1", "dossier/2")) >= 2,
+            lambda: len(cluster.list_sent_fences("s1", "dossier/2")) >= 2,
             deadline_s=TAKEOVER_DEADLINE_S,
         )
-        ordering.wait_for_versions()
-        assert min(ordering.list_sent_by_all("s1", "dossier/2")) > first["fence"]
+        cluster.wait_for_versions()
+        assert min(cluster.list_sent_fences("s1", "dossier/2")) > first["fence"]
 
 
-def test_leaving_holder_hands_its_lease_over_at_once():
-    with Ordering(checks_fence=True) as ordering:
-        ordering.wait_for_versions()
-        first = ordering.lease()
-        ordering.terminate(first["holder"])
+def test_lease_of_a_leaving_holder_is_taken_over_before_it_expires():
+    with ControllerCluster(checks_fence=True) as cluster:
+        cluster.wait_for_versions()
+        first = cluster.read_lease()
+        cluster.terminate(first["holder"])
         took_s = wait_until(
-            lambda: ordering.lease()["holder"] not in {"", first["holder"]}
+            lambda: cluster.read_lease()["holder"] not in {"", first["holder"]}
         )
         assert took_s < LeaseTiming().duration_s
-        ordering.add_version("2")
-        ordering.wait_for_versions()
+        cluster.add_version("2")
+        cluster.wait_for_versions()
--- a/tests/integration/test_scheduling.py
+++ b/tests/integration/test_scheduling.py
@@ -9,12 +9,12 @@
 
 DEADLINE_S = 30.0
 CANCEL_TARGET_S = 1.0
-IN_FORCE_TARGET_S = 9.0
+ACTIVATION_TARGET_S = 9.0
 LOOK_UP = "look-up"
 ANALYSIS = "analysis"
 
 
-def start(cluster, *engine_options):
+def start_and_warm_up(cluster, *engine_options):
     deployment = Deployment(
         region="r1",
         instances={"n1": "dc-a"},
@@ -30,7 +30,7 @@
 def wait_for(condition):
     started = time.monotonic()
     while not (found := condition()):
-        assert time.monotonic() - started < DEADLINE_S, "not reached in time"
+        assert time.monotonic() - started < DEADLINE_S, "condition not met in time"
         time.sleep(0.02)
     return found
 
@@ -47,7 +47,7 @@
 
 
 def send(cluster, class_name, *, key, max_tokens, workspace="studio-a"):
-    """Return the connection and its answer once its head has come."""
+    """Send a request and return the connection and the response after its headers."""
     connection = connect(cluster)
     body = {"model": "dossier", "prompt": key, "max_tokens": max_tokens, "stream": True}
     headers = {
@@ -71,14 +71,14 @@
 
 
 def read_outcome(answer):
-    """Return the outcome, whether it is the body or an event after the head."""
+    """Return the outcome in an error response or in an error event of a stream."""
     content = answer.read().decode()
     if answer.status == 200:
         content = content.partition("event: error")[2].partition("data: ")[2]
     return json.loads(content)["error"]
 
 
-def read_runs_of_warm_up(cluster):
+def list_finished_runs(cluster):
     return {line["run_id"] for line in read_log(cluster, "finish")}
 
 
@@ -87,43 +87,43 @@
     return [line for line in map(json.loads, lines) if line["event"] == event]
 
 
-def test_caller_that_leaves_has_its_run_cancelled_at_the_engine():
+def test_run_is_cancelled_at_the_engine_when_its_caller_disconnects():
     with Cluster() as cluster:
-        start(cluster)
+        start_and_warm_up(cluster)
         connection, answer = send(cluster, ANALYSIS, key="left", max_tokens=5000)
         answer.readline()
         answer.close()
         connection.close()
-        left_at = time.time()
+        disconnected_at = time.time()
         cancelled = wait_for(lambda: read_log(cluster, "cancel"))[0]
-        assert cancelled["time"] - left_at <= CANCEL_TARGET_S
+        assert cancelled["time"] - disconnected_at <= CANCEL_TARGET_S
 
 
-def test_look_up_without_room_hears_not_run_with_a_retry_time():
+def test_look_up_without_capacity_gets_not_run_with_a_retry_time():
     with Cluster() as cluster:
-        start(cluster, "--capacity", "1")
-        held, _ = send(cluster, LOOK_UP, key="held", max_tokens=5000)
+        start_and_warm_up(cluster, "--capacity", "1")
+        running, _ = send(cluster, LOOK_UP, key="held", max_tokens=5000)
         late, answer = send(cluster, LOOK_UP, key="late", max_tokens=5)
         outcome = read_outcome(answer)
         assert outcome["outcome"] == "not_run"
         assert outcome["retry_after_s"] > 0.0
         started = {line["run_id"] for line in read_log(cluster, "start")}
-        held.close()
+        running.close()
         late.close()
-        assert len(started - read_runs_of_warm_up(cluster)) == 1
+        assert len(started - list_finished_runs(cluster)) == 1
 
 
-def test_tighter_target_refuses_what_waits_within_seconds():
+def test_tightened_target_refuses_a_queued_request_within_the_activation_target():
     with Cluster() as cluster:
-        deployment = start(cluster, "--capacity", "1")
-        held, _ = send(cluster, ANALYSIS, key="held", max_tokens=5000)
-        waits, answer = send(cluster, ANALYSIS, key="waits", max_tokens=10)
+        deployment = start_and_warm_up(cluster, "--capacity", "1")
+        running, _ = send(cluster, ANALYSIS, key="held", max_tokens=5000)
+        queued, answer = send(cluster, ANALYSIS, key="waits", max_tokens=10)
         declaration = deployment.make_declaration()
         declaration["classes"][ANALYSIS] |= {"first_token_ms": 600, "may_wait_ms": 0}
         cluster.declare(declaration)
         declared_at = time.monotonic()
         outcome = read_outcome(answer)
         assert outcome["outcome"] == "not_run"
-        assert time.monotonic() - declared_at <= IN_FORCE_TARGET_S
-        held.close()
-        waits.close()
+        assert time.monotonic() - declared_at <= ACTIVATION_TARGET_S
+        running.close()
+        queued.close()
--- a/tests/integration/trials.py
+++ b/tests/integration/trials.py
@@ -1,4 +1,4 @@
-"""Shared fixture: a small deployment of real processes, and callers on it."""
+"""Test fixture: a small deployment of real processes and callers that use it."""
 
 from __future__ import annotations
 
@@ -31,25 +31,33 @@
 from tests.reactor_thread import run_in_reactor
 
 DEADLINE_S = 60.0
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 WORKSPACE = "studio-a"
 OTHER_WORKSPACE = "studio-b"
 MODEL = "dossier"
-# Loose enough that a busy machine is not taken for a dead engine.
-STEADY, PROMPT_CLASS = "steady", "prompt"
+# The targets of the lenient class are loose, so that slow engines on a busy machine are
+# not treated as dead.
+LENIENT_CLASS, LOW_LATENCY_CLASS = "steady", "prompt"
 
 
 def make_declaration(*, checks_fence: bool = True) -> dict:
+    """Return a declaration with an engine pool and a service pool.
+
+    Parameters
+    ----------
+    checks_fence : bool
+        Whether the engines check fencing numbers.
+    """
     return {
         "classes": {
-            STEADY: {
+            LENIENT_CLASS: {
                 "first_token_ms": 20000,
                 "gap_ms": 100,
                 "resume_ms": 8000,
                 "may_wait_ms": 20000,
                 "default": True,
             },
-            PROMPT_CLASS: {
+            LOW_LATENCY_CLASS: {
                 "first_token_ms": 1500,
                 "gap_ms": 100,
                 "resume_ms": 2000,
@@ -74,7 +82,7 @@
 
 
 class PinnedEntries:
-    """Always chooses one address."""
+    """Replacement for the entry list of a caller that always chooses one address."""
 
     def __init__(self, address):
         self._address = address
@@ -83,12 +91,12 @@
         return self._address
 
     def mark_failed(self, address):
-        """Keep the address all the same."""
+        """Ignore the failure."""
 
 
 @attrs.define(eq=False)
 class Stream:
-    """One request that a caller is following."""
+    """One request and the caller that reads its stream."""
 
     request: CompletionRequest
     caller: Caller
@@ -109,9 +117,11 @@
         return self._find_record()["connections"][-1]["address"]
 
     def wait_for_tokens(self, count: int) -> None:
+        """Block until the caller has received a number of tokens."""
         wait_until(lambda: self.count_tokens() >= count, f"{count} tokens")
 
     def result(self) -> dict:
+        """Block until the request has an outcome and return the caller's record."""
         return self.future.result(DEADLINE_S)
 
     def _find_record(self):
@@ -124,14 +134,24 @@
 
 
 def wait_until(condition, what: str, deadline_s: float = DEADLINE_S) -> None:
+    """Poll until a condition is true.
+
+    Parameters
+    ----------
+    condition : callable
+    what : str
+        Description of the condition for the failure message.
+    deadline_s : float
+        Time after which the wait fails.
+    """
     end = time.monotonic() + deadline_s
     while not condition():
-        assert time.monotonic() < end, f"waited in vain for {what}"
-        time.sleep(POLL_S)
+        assert time.monotonic() < end, f"timed out waiting for {what}"
+        time.sleep(POLL_INTERVAL_S)
 
 
-class Trial:
-    """A deployment under test and everything that its callers saw."""
+class SystemUnderTest:
+    """A running deployment, its callers and the evidence that the checker reads."""
 
     def __init__(self, cluster: Cluster):
         self.cluster = cluster
@@ -150,10 +170,31 @@
         max_tokens: int = 120,
         total_timeout_s: float = 45.0,
         sends_received: bool = True,
-        request_class: str = STEADY,
+        request_class: str = LENIENT_CLASS,
         **fields,
     ) -> Stream:
-        """Send a request, by the entry list or always at one address."""
+        """Create a request and send it from a new caller.
+
+        Parameters
+        ----------
+        prompt : str, optional
+            Defaults to a unique prompt.
+        at : str, optional
+            Name of an instance or an address that all attempts use. By default, the
+            caller chooses from the entry list.
+        max_tokens : int
+        total_timeout_s : float
+            Time from the first attempt until the caller gives up.
+        sends_received : bool
+            Whether reconnects carry the texts received so far.
+        request_class : str
+        **fields : object
+            Further fields of the `CompletionRequest`.
+
+        Returns
+        -------
+        Stream
+        """
         request = CompletionRequest(
             workspace=fields.pop("workspace", WORKSPACE),
             request_class=request_class,
@@ -176,7 +217,7 @@
         total_timeout_s: float = 45.0,
         sends_received: bool = True,
     ) -> Stream:
-        """Send a request from a caller of its own."""
+        """Send an existing request from a new caller; see `send`."""
         future: concurrent.futures.Future = concurrent.futures.Future()
         limits = CallerLimits(
             total_timeout_s=total_timeout_s,
@@ -206,7 +247,7 @@
         return stream
 
     def call(self, instance: str, *, headers=None, body=None, path="/v1/completions"):
-        """Make one plain HTTP call and return status and content."""
+        """Send one POST request and return the status and body of the response."""
         host, _, port = self.cluster.addresses[instance].rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=DEADLINE_S)
         with contextlib.closing(connection):
@@ -218,51 +259,64 @@
     # Faults
 
     def kill_engine(self, name: str) -> None:
+        """Kill an engine and record the fault in the timeline."""
         self.timeline.add(TimelineKind.ENGINE_KILLED, name)
         self.cluster.kill(name)
 
     def kill_instance(self, address: str) -> str:
+        """Kill the instance at an address, record the fault and return its name."""
         self.timeline.add(TimelineKind.INSTANCE_KILLED, address)
-        name = self.name_instance(address)
+        name = self.find_instance_name(address)
         self.cluster.kill(name)
         return name
 
-    def name_instance(self, address: str) -> str:
+    def find_instance_name(self, address: str) -> str:
         names = {self.cluster.addresses[name]: name for name in self.instances}
         return names[address]
 
     # Evidence
 
-    def lines(self, event: str, stream: Stream | None = None) -> list:
-        """Return the lines of the execution logs of one kind."""
+    def find_log_lines(self, event: str, stream: Stream | None = None) -> list:
+        """Return the execution log lines of an event, optionally of one stream."""
         lines = read_execution_logs(self.cluster.execution_logs.values())
-        origin = stream and stream_origin(stream)
+        origin = stream and derive_stream_origin(stream)
         return [
             line
             for line in lines
             if line.event == event and (not origin or line.origin.startswith(origin))
         ]
 
-    def count_decoded(self, stream: Stream) -> int:
+    def count_decoded_tokens(self, stream: Stream) -> int:
+        """Return how many tokens all engines together decoded for a stream."""
         lines = read_execution_logs(self.cluster.execution_logs.values())
-        origin = stream_origin(stream)
+        origin = derive_stream_origin(stream)
         return sum(
             line.decoded_tokens for line in lines if line.origin.startswith(origin)
         )
 
-    def finish(self, *, apart_from: Stream | None = None):
-        """Wait for all streams and return the report of the checker."""
-        streams = [stream for stream in self._streams if stream is not apart_from]
+    def wait_and_check(self, *, excluded: Stream | None = None):
+        """Wait for all streams and assert that the checker finds no violation.
+
+        Parameters
+        ----------
+        excluded : Stream, optional
+            Stream that is neither awaited nor checked.
+
+        Returns
+        -------
+        Report
+        """
+        streams = [stream for stream in self._streams if stream is not excluded]
         records = [stream.result() for stream in streams]
         lines = read_execution_logs(self.cluster.execution_logs.values())
         report = check(Evidence(records, lines, self.timeline.events))
         assert report.passed, report.violations
         return report
 
-    def finish_completed(self):
-        """Wait for all streams, all of which must complete."""
-        report = self.finish()
-        outcomes = [describe_end(stream.result()) for stream in self._streams]
+    def wait_and_check_completed(self):
+        """Do the same as `wait_and_check` and assert that all streams completed."""
+        report = self.wait_and_check()
+        outcomes = [describe_outcome(stream.result()) for stream in self._streams]
         assert report.completed == report.requests, outcomes
         return report
 
@@ -270,16 +324,19 @@
         self._history.close()
 
 
-def stream_origin(stream: Stream) -> str:
+def derive_stream_origin(stream: Stream) -> str:
+    """Return the origin that the execution logs record for the prompt of a stream."""
     return derive_prompt_origin(stream.request.prompt)
 
 
-def describe_end(record: dict) -> tuple:
+def describe_outcome(record: dict) -> tuple:
+    """Return the outcome of a record and how its last connection ended."""
     last = record["connections"][-1]
     return record["outcome"], last["step"], last["peer"], last["reason"]
 
 
 def make_prompt(pages: int = 4) -> str:
+    """Return a unique prompt that starts with a common prefix."""
     page = "Inspection note of the corner pitch, with its plan and one complaint. "
     return page * pages + f"File {uuid.uuid4().hex}."
 
@@ -290,24 +347,52 @@
     engines: int = 3,
     instances: int = 2,
     services: int = 0,
-    link_engines: bool = False,
-    link_platform: bool = False,
+    engines_behind_proxy: bool = False,
+    platform_behind_proxy: bool = False,
     checks_fence: bool = True,
     service_options: tuple[str, ...] = (),
     engine_options: tuple[str, ...] = (),
 ):
-    """Start a platform, engines e1…, services w1… and instances n1…"""
+    """Start a platform, engines, services and instances.
+
+    Parameters
+    ----------
+    engines : int
+        Number of engines, named ``e1``, ``e2`` and so on.
+    instances : int
+        Number of instances, named ``n1``, ``n2`` and so on.
+    services : int
+        Number of plain services, named ``w1``, ``w2`` and so on. They are always
+        reached through the fault proxy, over ``link-NAME``.
+    engines_behind_proxy : bool
+        Whether engines are reached through the fault proxy, over ``link-NAME``.
+    platform_behind_proxy : bool
+        Whether instances reach the platform through the fault proxy, over
+        ``platform-NAME``.
+    checks_fence : bool
+        Whether the engines check fencing numbers.
+    service_options, engine_options : tuple of str
+        Command line options of the processes.
+
+    Yields
+    ------
+    SystemUnderTest
+    """
     with contextlib.ExitStack() as stack:
         cluster = stack.enter_context(Cluster())
         cluster.start_platform(wait=False)
         cluster.start_fault_proxy(wait=False)
         cluster.wait_until_ready()
         cluster.declare(make_declaration(checks_fence=checks_fence))
-        trial = Trial(cluster)
-        stack.callback(trial.close)
+        system = SystemUnderTest(cluster)
+        stack.callback(system.close)
         for number in range(engines):
             _start_engine(
-                cluster, f"e{number + 1}", link_engines, checks_fence, engine_options
+                cluster,
+                f"e{number + 1}",
+                engines_behind_proxy,
+                checks_fence,
+                engine_options,
             )
         for number in range(services):
             name = f"w{number + 1}"
@@ -316,9 +401,9 @@
             cluster.register_server(name, pool="windows", address=link)
         cluster.wait_until_ready()
         for number in range(instances):
-            _start_instance(trial, f"n{number + 1}", link_platform)
+            _start_instance(system, f"n{number + 1}", platform_behind_proxy)
         cluster.wait_until_ready()
-        yield trial
+        yield system
 
 
 def _start_engine(cluster, name, link, checks_fence, options) -> None:
@@ -331,10 +416,10 @@
     cluster.register_server(name, address=address)
 
 
-def _start_instance(trial, name, link_platform) -> None:
-    cluster = trial.cluster
+def _start_instance(system, name, platform_behind_proxy) -> None:
+    cluster = system.cluster
     platform = cluster.addresses[PLATFORM]
-    if link_platform:
+    if platform_behind_proxy:
         platform = cluster.add_link(f"platform-{name}", target=platform)
-    trial.instances.append(name)
+    system.instances.append(name)
     cluster.start_node(name, platform_address=platform, wait=False)
--- a/tests/reactor_thread.py
+++ b/tests/reactor_thread.py
@@ -1,4 +1,4 @@
-"""Runs coroutines of tests on one reactor that lives in a thread."""
+"""Runs test coroutines on one Twisted reactor in a background thread."""
 
 from __future__ import annotations
 
@@ -29,11 +29,33 @@
 def run_in_reactor(
     function: Callable[..., Coroutine], *arguments: Any, deadline_s: float = DEADLINE_S
 ) -> Any:
-    """Run a coroutine function on the reactor and return its result."""
+    """Run a coroutine function on the reactor and return its result.
+
+    Blocks the calling thread. Starts the reactor on the first call.
+
+    Parameters
+    ----------
+    function : callable
+        Coroutine function.
+    *arguments : object
+        Positional arguments for it.
+    deadline_s : float
+        Timeout after which the coroutine is cancelled.
+
+    Returns
+    -------
+    object
+        Result of the coroutine.
+
+    Raises
+    ------
+    twisted.internet.defer.TimeoutError
+        If the timeout expired.
+    """
     _ensure_running()
 
     def start() -> Deferred:
-        running = Deferred.fromCoroutine(function(*arguments))
-        return running.addTimeout(deadline_s, reactor)
+        result = Deferred.fromCoroutine(function(*arguments))
+        return result.addTimeout(deadline_s, reactor)
 
     return blockingCallFromThread(reactor, start)
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for conditions with a generous deadline."""
+"""Polls conditions in tests."""
 
 from __future__ import annotations
 
@@ -6,15 +6,33 @@
 from collections.abc import Callable
 
 DEADLINE_S = 60.0
-PAUSE_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 def wait_until(
     condition: Callable[[], bool], *, deadline_s: float = DEADLINE_S
 ) -> float:
-    """Poll until a condition holds and return the seconds that it took."""
+    """Poll until a condition is true.
+
+    Parameters
+    ----------
+    condition : callable
+        Predicate without arguments.
+    deadline_s : float
+        Time after which the wait fails.
+
+    Returns
+    -------
+    float
+        Seconds until the condition was true.
+
+    Raises
+    ------
+    AssertionError
+        If the condition was not true in time.
+    """
     started = time.monotonic()
     while not condition():
-        assert time.monotonic() - started < deadline_s, "not reached in time"
-        time.sleep(PAUSE_S)
+        assert time.monotonic() - started < deadline_s, "condition not met in time"
+        time.sleep(POLL_INTERVAL_S)
     return time.monotonic() - started
--- a/tools/doc_blocks.py
+++ b/tools/doc_blocks.py
@@ -1,4 +1,4 @@
-"""Fenced blocks of the pages, for the tests that run them."""
+"""Extracts fenced code blocks from documentation pages, for tests that run them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,17 @@
 
 
 class Block(NamedTuple):
-    """One fenced block; ``name`` is the file name in the line before it."""
+    """One fenced code block.
+
+    Parameters
+    ----------
+    language : str
+        Info string of the fence.
+    name : str
+        File name in the line above the block, empty if there is none.
+    text : str
+        Content of the block.
+    """
 
     language: str
     name: str
@@ -22,12 +32,12 @@
 
 
 def read_blocks(page: str) -> list[Block]:
-    """Return the fenced blocks of a page that name a language.
+    """Return the fenced code blocks of a page that have a language.
 
     Parameters
     ----------
     page : str
-        Path of the page from the root of the checkout.
+        Path of the page, relative to the root of the checkout.
 
     Returns
     -------
--- a/tools/test_run.py
+++ b/tools/test_run.py
@@ -1,6 +1,6 @@
-"""Runs the tests with nose2 and ends with one line of counts.
+"""Runs the tests with nose2 and prints their counts in the last line.
 
-A test named in ``KNOWN-RED.txt`` still runs; its failure is printed and not
+A test listed in ``KNOWN-RED.txt`` still runs; its failure is printed but not
 counted. Each entry of that file starts with a line ``test: NAME``.
 """
 
@@ -14,18 +14,18 @@
 from nose2.plugins import mp
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-KNOWN_RED = ROOT / "KNOWN-RED.txt"
+KNOWN_RED_PATH = ROOT / "KNOWN-RED.txt"
 ENTRY_PREFIX = "test: "
-PARALLEL = ("--plugin", "nose2.plugins.mp", "-N", "4")
+PARALLEL_OPTIONS = ("--plugin", "nose2.plugins.mp", "-N", "4")
 
 
 def read_known_red(path: pathlib.Path) -> frozenset[str]:
-    """Return the names of the tests that are listed as failing.
+    """Return the names of the tests that are known to fail.
 
     Parameters
     ----------
     path : pathlib.Path
-        File of entries; it may be absent.
+        The list of known failures. A missing file means that there are none.
 
     Returns
     -------
@@ -42,14 +42,22 @@
 
 
 class OutcomeRecorder:
-    """Counts test outcomes; registered with nose2 as a hook."""
+    """Counts test outcomes; used as a nose2 hook.
+
+    Attributes
+    ----------
+    passed, skipped : int
+        Numbers of tests.
+    failed : set of str
+        Names of the tests that failed, raised an error or passed unexpectedly.
+    """
 
     def __init__(self) -> None:
         self.passed = 0
         self.skipped = 0
         self.failed: set[str] = set()
 
-    def testOutcome(self, event) -> None:  # noqa: N802 the name nose2 calls
+    def testOutcome(self, event) -> None:  # noqa: N802 name required by nose2
         """Record one finished test.
 
         Parameters
@@ -70,22 +78,30 @@
     Parameters
     ----------
     arguments : list of str
-        Further arguments for nose2, such as test names.
+        Additional arguments for nose2, such as test names.
 
     Returns
     -------
     int
-        Exit code, zero when no unlisted test failed.
+        Exit code: 0 if at least one test passed and every failure is listed as
+        known, else 1.
     """
-    # A forked worker would share the poller of the reactor that discovery imported.
+    # A forked worker would share the epoll instance of the reactor that test
+    # discovery imported.
     mp.MP_CTX = multiprocessing.get_context("spawn")
     recorder = OutcomeRecorder()
     nose2.discover(
-        argv=["nose2", "--top-level-directory", str(ROOT), *PARALLEL, *arguments],
+        argv=[
+            "nose2",
+            "--top-level-directory",
+            str(ROOT),
+            *PARALLEL_OPTIONS,
+            *arguments,
+        ],
         exit=False,
         extraHooks=[("testOutcome", recorder)],
     )
-    known = read_known_red(KNOWN_RED)
+    known = read_known_red(KNOWN_RED_PATH)
     for name in sorted(recorder.failed & known):
         print(f"known red, passed over: {name}")
     failed = recorder.failed - known
