--- a/packages/decisions/src/ebonyhaven_decisions/__init__.py
+++ b/packages/decisions/src/ebonyhaven_decisions/__init__.py
@@ -20,9 +20,9 @@
 from ebonyhaven_decisions._configuration import (
     ConfigurationView,
     PeerReport,
+    apply_peer_report,
+    apply_table_entry,
     compute_quorum_size,
-    observe_peer,
-    observe_table,
 )
 from ebonyhaven_decisions._configuration_entries import (
     CONFIGURATION_HISTORY_PREFIX,
@@ -146,7 +146,7 @@
     Outcome,
     OutcomeTag,
     RequestFailure,
-    qualify_outcome,
+    downgrade_unproved_outcome,
 )
 from ebonyhaven_decisions._placement import (
     Order,
@@ -349,15 +349,15 @@
     "format_change_key",
     "format_history_key",
     "observe_lease",
-    "observe_peer",
-    "observe_table",
+    "apply_peer_report",
+    "apply_table_entry",
     "parse_declaration",
     "parse_configuration_entry",
     "parse_event_id",
     "parse_lease_row",
     "plan_resume",
     "build_acceptance_transaction",
-    "qualify_outcome",
+    "downgrade_unproved_outcome",
     "build_continuation_claim",
     "update_placement",
 ]
--- a/packages/decisions/src/ebonyhaven_decisions/_configuration.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_configuration.py
@@ -72,7 +72,7 @@
         Highest version that the peer knows.
     entry : ConfigurationEntry or None
         Content of ``version``, if the report includes it.
-    in_reply_to : int
+    request_incarnation : int
         Incarnation in the request that this report answers; 0 if unsolicited.
     """
 
@@ -80,10 +80,10 @@
     version: int
     highest_version: int
     entry: ConfigurationEntry | None
-    in_reply_to: int = 0
+    request_incarnation: int = 0
 
 
-def observe_table(
+def apply_table_entry(
     view: ConfigurationView, entry: ConfigurationEntry
 ) -> ConfigurationView:
     """Return the view after the current row was read from the table.
@@ -100,7 +100,7 @@
     return _activate_entry(updated, entry)
 
 
-def observe_peer(
+def apply_peer_report(
     view: ConfigurationView, report: PeerReport, *, listed_instances: int
 ) -> ConfigurationView:
     """Return the view after a report of a peer was received.
@@ -140,7 +140,7 @@
     ):
         candidate = report.entry
     reports = dict(view.reports)
-    if report.in_reply_to == view.incarnation:
+    if report.request_incarnation == view.incarnation:
         reports[report.peer] = report.version
     updated = attrs.evolve(view, reports=reports, candidate=candidate)
     if not listed_instances or len(reports) < compute_quorum_size(listed_instances):
--- a/packages/decisions/src/ebonyhaven_decisions/_member_view.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_member_view.py
@@ -67,7 +67,7 @@
         changes, self._changes = self._changes, []
         return changes
 
-    def set_load(self, load_tenths: int, now: float) -> None:
+    def report_load(self, load_tenths: int, now: float) -> None:
         """Set the load of this instance.
 
         Parameters
--- a/packages/decisions/src/ebonyhaven_decisions/_outcomes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_outcomes.py
@@ -46,7 +46,7 @@
 STEPS_BEFORE_ACCEPTANCE = frozenset({"identify", "validate", "deduplicate"})
 
 
-def qualify_outcome(outcome: Outcome, *, first_submission: bool) -> Outcome:
+def downgrade_unproved_outcome(outcome: Outcome, *, first_submission: bool) -> Outcome:
     """Return the outcome to report for a request that may be a resubmission.
 
     An instance only knows that it did not run the request itself. If an earlier
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/__init__.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/__init__.py
@@ -24,9 +24,9 @@
     select_preferred_engines,
 )
 from ebonyhaven_decisions.forwarding._routes import (
-    CallerLimits,
     EngineTraits,
     RequestKind,
+    RequestLimits,
     Route,
     RoutingConfiguration,
     Service,
@@ -51,7 +51,7 @@
     "BackendDirectory",
     "BackendEntry",
     "BackendState",
-    "CallerLimits",
+    "RequestLimits",
     "EngineTraits",
     "EngineUse",
     "TokenDemand",
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_routes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_routes.py
@@ -131,12 +131,12 @@
     priority: int | None
 
 
-class CallerLimits(NamedTuple):
+class RequestLimits(NamedTuple):
     """Limits on the size and the arrival time of caller requests.
 
     Parameters
     ----------
-    header_bytes, body_bytes : int
+    max_header_bytes, max_body_bytes : int
         Maximum sizes.
     header_timeout_s : float
         Time for the complete request headers.
@@ -144,8 +144,8 @@
         Time for the request body, and time after which an idle connection is closed.
     """
 
-    header_bytes: int = 16 * 1024
-    body_bytes: int = 4 * 1024 * 1024
+    max_header_bytes: int = 16 * 1024
+    max_body_bytes: int = 4 * 1024 * 1024
     header_timeout_s: float = 3.0
     idle_timeout_s: float = 15.0
 
@@ -163,7 +163,7 @@
         By API key.
     requires_keys : bool
         Whether an API key is required on routes that are not anonymous.
-    limits : CallerLimits
+    limits : RequestLimits
     """
 
     version: int
@@ -171,7 +171,7 @@
     services: Mapping[str, Service]
     workspaces: Mapping[str, Workspace]
     requires_keys: bool
-    limits: CallerLimits
+    limits: RequestLimits
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix that matches a path.
--- a/packages/node/src/ebonyhaven_node/_configuration.py
+++ b/packages/node/src/ebonyhaven_node/_configuration.py
@@ -20,8 +20,8 @@
     ConfigurationView,
     DeclarationError,
     PeerReport,
-    observe_peer,
-    observe_table,
+    apply_peer_report,
+    apply_table_entry,
     parse_configuration_entry,
     parse_declaration,
 )
@@ -228,7 +228,7 @@
             return
         if not self._is_usable(entry):
             return
-        self._apply_view(observe_table(self._view, entry), "table")
+        self._apply_view(apply_table_entry(self._view, entry), "table")
         if self.version >= entry.version:  # otherwise the next read returns it again
             self._table_version = changes.version
 
@@ -256,7 +256,7 @@
         if report.entry is not None and not self._is_usable(report.entry):
             report = report._replace(entry=None)
         listed = self._peers.count_listed_instances() if self._peers is not None else 0
-        view = observe_peer(self._view, report, listed_instances=listed)
+        view = apply_peer_report(self._view, report, listed_instances=listed)
         self._apply_view(view, "peer")
 
     def _is_usable(self, entry: ConfigurationEntry) -> bool:
--- a/packages/node/src/ebonyhaven_node/_membership.py
+++ b/packages/node/src/ebonyhaven_node/_membership.py
@@ -236,7 +236,7 @@
         self._tick_call = self._reactor.callLater(TICK_S, self._tick)
         now = self._clock()
         tenths = min(10, max(0, round(10 * self._load_source())))
-        self._membership.set_load(tenths, now)
+        self._membership.report_load(tenths, now)
         self._send_all(self._membership.tick(now))
         self._handle_changes(now)
         self._ticks += 1
--- a/packages/node/src/ebonyhaven_node/_sinks.py
+++ b/packages/node/src/ebonyhaven_node/_sinks.py
@@ -5,7 +5,7 @@
 import json
 import time
 
-from ebonyhaven_decisions import Outcome, qualify_outcome
+from ebonyhaven_decisions import Outcome, downgrade_unproved_outcome
 from twisted.internet.interfaces import IPushProducer, IReactorTime
 from twisted.python.failure import Failure
 from twisted.web.http import Request
@@ -167,7 +167,9 @@
         self._http_request.finish()
 
     def _write_failure(self, outcome: Outcome) -> None:
-        outcome = qualify_outcome(outcome, first_submission=self._first_submission)
+        outcome = downgrade_unproved_outcome(
+            outcome, first_submission=self._first_submission
+        )
         self._metrics.requests.labels(str(outcome.tag), outcome.step).inc()
         if not self._is_started:
             write_outcome(self._http_request, outcome)
--- a/packages/node/src/ebonyhaven_node/forwarding/_http_server.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_http_server.py
@@ -7,7 +7,7 @@
 
 import h11
 import structlog
-from ebonyhaven_decisions.forwarding import CallerLimits
+from ebonyhaven_decisions.forwarding import RequestLimits
 from twisted.internet.interfaces import IReactorTime
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
@@ -144,7 +144,7 @@
     def __init__(self, server: CallerServer):
         self._server = server
         self._codec = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=server.limits().header_bytes
+            h11.SERVER, max_incomplete_event_size=server.limits().max_header_bytes
         )
         self._exchange: Exchange | None = None
         self._head: RequestHead | None = None
@@ -273,7 +273,7 @@
 
     def _handle_body_data(self, data: bytes) -> None:
         self._body_bytes += len(data)
-        if self._body_bytes > self._server.limits().body_bytes:
+        if self._body_bytes > self._server.limits().max_body_bytes:
             raise h11.RemoteProtocolError("body too large", error_status_hint=413)
         self._body.append(data)
 
@@ -340,7 +340,7 @@
     handle : callable
         Called with the `Exchange` of each complete request.
     limits : callable
-        Returns the current `CallerLimits`.
+        Returns the current `RequestLimits`.
     is_closing : callable
         Returns whether connections are closed after the current response.
     clock : callable
@@ -354,7 +354,7 @@
         *,
         reactor: IReactorTime,
         handle: Callable[[Exchange], None],
-        limits: Callable[[], CallerLimits] = CallerLimits,
+        limits: Callable[[], RequestLimits] = RequestLimits,
         is_closing: Callable[[], bool] = lambda: False,
         clock: Callable[[], float] = time.monotonic,
     ):
--- a/packages/node/src/ebonyhaven_node/forwarding/_state.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_state.py
@@ -9,7 +9,7 @@
 from ebonyhaven_decisions.forwarding import (
     BackendDirectory,
     BackendEntry,
-    CallerLimits,
+    RequestLimits,
     RoutingConfiguration,
 )
 
@@ -39,10 +39,10 @@
         return self.configuration is not None and self.has_backend_list
 
     @property
-    def limits(self) -> CallerLimits:
+    def limits(self) -> RequestLimits:
         """Limits on callers in the active configuration, or the defaults."""
         if self.configuration is None:
-            return CallerLimits()
+            return RequestLimits()
         return self.configuration.limits
 
     def observe(self, observer: Callable[[], None]) -> None:
--- a/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
@@ -10,9 +10,9 @@
 import h11
 from ebonyhaven_decisions.forwarding import (
     BackendEntry,
-    CallerLimits,
     EngineTraits,
     RequestKind,
+    RequestLimits,
     Route,
     RoutingConfiguration,
     Service,
@@ -379,7 +379,7 @@
         services={"engines": Service("engines", 400, traits)},
         workspaces={API_KEY: Workspace("studio-a", None)},
         requires_keys=True,
-        limits=CallerLimits(),
+        limits=RequestLimits(),
     )
 
 
--- a/tests/decisions/test_configuration_exploration.py
+++ b/tests/decisions/test_configuration_exploration.py
@@ -14,8 +14,8 @@
     ConfigurationEntry,
     ConfigurationView,
     PeerReport,
-    observe_peer,
-    observe_table,
+    apply_peer_report,
+    apply_table_entry,
 )
 
 from tests.decisions.exploration import Exploration, Transition, explore
@@ -60,8 +60,8 @@
 
 
 class Rules(NamedTuple):
-    observe_peer: Callable = observe_peer
-    observe_table: Callable = observe_table
+    apply_peer_report: Callable = apply_peer_report
+    apply_table_entry: Callable = apply_table_entry
     max_restarts: int = 1
     delayed_messages: bool = True
 
@@ -103,12 +103,12 @@
 
 
 def apply_report(state: State, message: Message, rules: Rules) -> State:
-    peer, version, highest_version, in_reply_to = message.report
+    peer, version, highest_version, request_incarnation = message.report
     report = PeerReport(
-        peer, version, highest_version, ENTRIES.get(version), in_reply_to
+        peer, version, highest_version, ENTRIES.get(version), request_incarnation
     )
     member = state.members[message.receiver]
-    view = rules.observe_peer(
+    view = rules.apply_peer_report(
         make_view(member), report, listed_instances=INSTANCE_COUNT
     )
     return replace_member(state, message.receiver, update_member(member, view))
@@ -116,7 +116,7 @@
 
 def apply_read(state: State, index: int, version: int, rules: Rules) -> State:
     member = state.members[index]
-    view = rules.observe_table(make_view(member), ENTRIES[version])
+    view = rules.apply_table_entry(make_view(member), ENTRIES[version])
     return replace_member(state, index, update_member(member, view))
 
 
@@ -157,8 +157,13 @@
         for receiver in range(INSTANCE_COUNT):
             if receiver == sender:
                 continue
-            in_reply_to = state.members[receiver].incarnation
-            report = (str(sender), member.version, member.highest_version, in_reply_to)
+            request_incarnation = state.members[receiver].incarnation
+            report = (
+                str(sender),
+                member.version,
+                member.highest_version,
+                request_incarnation,
+            )
             message = Message(receiver, report)
             name = f"report {sender} to {receiver}"
             yield Transition(name, apply_report(state, message, rules))
@@ -211,29 +216,30 @@
 
 def test_exploration_detects_a_quorum_of_one():
     def observe_with_quorum_of_one(view, report, *, listed_instances):
-        return observe_peer(view, report, listed_instances=1)
+        return apply_peer_report(view, report, listed_instances=1)
 
     assert (
-        explore_rules(Rules(observe_peer=observe_with_quorum_of_one)).violation
+        explore_rules(Rules(apply_peer_report=observe_with_quorum_of_one)).violation
         is not None
     )
 
 
 def test_exploration_detects_counting_replies_to_an_earlier_incarnation():
     def observe_as_current_reply(view, report, *, listed_instances):
-        current_reply = report._replace(in_reply_to=view.incarnation)
-        return observe_peer(view, current_reply, listed_instances=listed_instances)
+        current_reply = report._replace(request_incarnation=view.incarnation)
+        return apply_peer_report(view, current_reply, listed_instances=listed_instances)
 
     assert (
-        explore_rules(Rules(observe_peer=observe_as_current_reply)).violation
+        explore_rules(Rules(apply_peer_report=observe_as_current_reply)).violation
         is not None
     )
 
 
 def test_exploration_detects_activation_of_stale_reads():
     def observe_without_state(view, entry):
-        return observe_table(ConfigurationView(incarnation=view.incarnation), entry)
+        return apply_table_entry(ConfigurationView(incarnation=view.incarnation), entry)
 
     assert (
-        explore_rules(Rules(observe_table=observe_without_state)).violation is not None
+        explore_rules(Rules(apply_table_entry=observe_without_state)).violation
+        is not None
     )
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -9,9 +9,9 @@
 from ebonyhaven_decisions.forwarding import (
     BackendEntry,
     BackendState,
-    CallerLimits,
     EngineTraits,
     RequestKind,
+    RequestLimits,
     Route,
     RoutingConfiguration,
     Service,
@@ -221,7 +221,7 @@
         "max_attempts": 5,
     }
     routes = routes or [
-        make_route("once", RequestKind.ONCE, max_attempts=1),
+        make_route("once", RequestKind.NON_IDEMPOTENT, max_attempts=1),
         make_route("repeat", RequestKind.IDEMPOTENT),
         make_route("stream", RequestKind.STREAM, is_resumable=True, **stream),
         make_route("fixed", RequestKind.STREAM, **stream),
@@ -238,7 +238,7 @@
         },
         workspaces={KEY: Workspace("studio-a", None)},
         requires_keys=True,
-        limits=CallerLimits(),
+        limits=RequestLimits(),
     )
 
 
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -76,10 +76,10 @@
     harness = ForwardingHarness()
     limits = harness.state.limits
     caller = harness.open_caller()
-    caller.send(b"GET / HTTP/1.1\r\nX: " + b"a" * (limits.header_bytes + 100))
+    caller.send(b"GET / HTTP/1.1\r\nX: " + b"a" * (limits.max_header_bytes + 100))
     assert caller.read_answer()[0] == 431
     caller = harness.open_caller()
-    length = limits.body_bytes + 1
+    length = limits.max_body_bytes + 1
     head = f"POST /once/x HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: {length}\r\n\r\n"
     caller.send(head.encode() + b"a" * length)
     assert caller.read_answer()[0] == 413
