--- a/packages/decisions/src/ebonyhaven_decisions/_configuration.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_configuration.py
@@ -2,14 +2,16 @@
 
 An instance with an active configuration only replaces it by a higher version. A
 starting instance activates the version in the table. If the table is unavailable,
-it collects reports from a quorum, more than half of the listed instances, and
-activates the highest version among them. Any two majorities intersect, so a
-version that was active on more than half of the instances is among the reports.
+it collects reports from a quorum, more than half of the listed instances. It then
+activates the highest version that it knows, once a peer has sent its content. Any
+two majorities intersect: if a version was active on more than half of the
+instances, at least one of them reports this version or a higher one.
 
 A starting instance has no active version to report, so versions that it only knows
 from peers do not count towards the quorum of another instance. It counts only
-answers to requests of its own incarnation: a message sent before it started may
-carry a version that is older than the one the majority has activated since.
+responses to requests that it sent in its current incarnation: a message sent before
+it started may carry a version that is older than the one the majority has activated
+since.
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ConfigurationView:
-    """Active configuration of an instance and what it knows of other versions.
+    """Active configuration of an instance and the versions known from its peers.
 
     Parameters
     ----------
@@ -53,14 +55,14 @@
 
     @property
     def version_to_fetch(self) -> int:
-        """Version to request from peers; 0 if this instance has the highest one."""
+        """Version whose content is requested from peers; 0 if no newer one is known."""
         candidate_version = self.candidate.version if self.candidate else 0
         newest = max(self.version, candidate_version)
         return self.highest_version if self.highest_version > newest else 0
 
 
 class PeerReport(NamedTuple):
-    """Versions that a peer reports.
+    """Report of a peer about its configuration versions.
 
     Parameters
     ----------
@@ -86,7 +88,7 @@
 def apply_table_entry(
     view: ConfigurationView, entry: ConfigurationEntry
 ) -> ConfigurationView:
-    """Return the view after the current row was read from the table.
+    """Return the view after the current entry was read from the table.
 
     A stale read activates nothing. It is stale if its version is not above the
     active one or, on a starting instance, below the highest known one. A later read
@@ -112,8 +114,9 @@
     report : PeerReport
         The received report.
     listed_instances : int
-        Number of listed instances, including this one; 0 if the list is incomplete.
-        Then a starting instance activates nothing from its peers.
+        Number of instances listed by the platform or in the settings, including
+        this one; 0 if the list is incomplete. A starting instance then activates no
+        version from its peers.
     """
     highest = max(view.highest_version, report.version, report.highest_version)
     updated = attrs.evolve(view, highest_version=highest)
@@ -125,7 +128,7 @@
 
 
 def compute_quorum_size(listed_instances: int) -> int:
-    """Return the number of peer reports required to start without the table."""
+    """Return the number of peer reports required if the table is unavailable."""
     return listed_instances // 2 + 1
 
 
--- a/packages/decisions/src/ebonyhaven_decisions/_member_view.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_member_view.py
@@ -1,4 +1,4 @@
-"""Member table of an instance, its load reports and its refutations."""
+"""Member table and load reports of an instance, and its refutation of suspicions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,22 @@
 class MembershipCounts:
     """Numbers of events since the start of this instance.
 
-    ``suspicions`` counts only those that this instance raised itself.
+    Parameters
+    ----------
+    silences : int
+        Instances whose silence timeout expired.
+    suspicions : int
+        Suspicions raised by this instance.
+    deaths : int
+        Suspects that this instance declared dead.
+    refutations : int
+        Records of this instance that it refuted.
+    indirect_signs : int
+        Confirmations from other instances that a silent instance is alive.
+    pauses : int
+        Pauses of this process.
+    table_requests : int
+        Member tables requested from new peers or after a digest mismatch.
     """
 
     silences: int = 0
@@ -30,7 +45,7 @@
 
 
 class MemberView:
-    """Member table of an instance and the state that a new record changes.
+    """Member table of an instance, updated with the records that it receives.
 
     A record of this instance that is newer than the current one is refuted with a
     higher incarnation, or marks this instance as superseded if it belongs to a newer
@@ -63,12 +78,12 @@
         self.table.merge(own, now)
 
     def pop_changes(self) -> list[MemberRecord]:
-        """Return and clear the records that changed since the last call."""
+        """Return the records of other instances that changed since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
     def report_load(self, load_tenths: int, now: float) -> None:
-        """Set the load of this instance.
+        """Queue a load report of this instance if its load changed enough.
 
         Parameters
         ----------
@@ -94,7 +109,10 @@
             self._dissemination.queue_record(record.name, received_from=received_from)
 
     def _refute(self, record: MemberRecord, now: float) -> None:
-        """Refute a record of this instance unless it is of a newer process."""
+        """Refute a newer record of this instance.
+
+        A record of a newer process marks this instance as superseded instead.
+        """
         if record <= self.own or self.own.state == MemberState.DEAD:
             return
         is_other_process = record.control_address != self.own.control_address
@@ -111,7 +129,10 @@
         self._dissemination.queue_record(self.own.name)
 
     def _expire_records(self, now: float) -> list[str]:
-        """Declare expired suspects dead; return the names of expired dead instances."""
+        """Declare suspects dead whose timeout expired.
+
+        Returns the names of dead instances whose retention time expired.
+        """
         expired = []
         for record in list(self.table):
             age_s = now - self.table.changed_at(record.name)
--- a/packages/decisions/src/ebonyhaven_decisions/_outcomes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_outcomes.py
@@ -21,8 +21,8 @@
     Parameters
     ----------
     tag : OutcomeTag
-        ``NOT_RUN`` is only used with proof that no engine and no service ran the
-        request. ``FAILED`` means that it ran, ``UNKNOWN`` that it may have run.
+        ``NOT_RUN`` is only used with proof that no backend server ran the request.
+        ``FAILED`` means that it ran, ``UNKNOWN`` that it may have run.
     step : str
         Step of request processing at which the error occurred.
     peer : str
@@ -32,7 +32,7 @@
     status : int
         HTTP status code.
     retry_after_s : float or None
-        Seconds after which a retry may succeed, when that is known.
+        Seconds after which a retry may succeed; None if unknown.
     """
 
     tag: OutcomeTag
@@ -43,22 +43,24 @@
     retry_after_s: float | None = None
 
 
+# These steps reject the submission itself, so an earlier one doesn't affect NOT_RUN.
 STEPS_BEFORE_ACCEPTANCE = frozenset({"identify", "validate", "deduplicate"})
 
 
 def downgrade_unproved_outcome(outcome: Outcome, *, first_submission: bool) -> Outcome:
-    """Return the outcome to report for a request that may be a resubmission.
+    """Replace ``NOT_RUN`` by ``UNKNOWN`` if an earlier submission may have run.
 
     An instance only knows that it did not run the request itself. If an earlier
-    submission of the same key may have run on another instance, ``NOT_RUN`` is
-    unproved and becomes ``UNKNOWN``, except for steps before acceptance.
+    submission with the same idempotency key may have run on another instance,
+    ``NOT_RUN`` is unproved and becomes ``UNKNOWN``, except in
+    ``STEPS_BEFORE_ACCEPTANCE``.
 
     Parameters
     ----------
     outcome : Outcome
         Outcome on this instance.
     first_submission : bool
-        Whether no earlier submission of the key can have run.
+        Whether no earlier submission with the idempotency key can have run.
 
     Returns
     -------
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_routes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_routes.py
@@ -10,10 +10,14 @@
 
 
 class RequestKind(enum.Enum):
-    """Type of a request; determines whether it may be retried after it ran."""
+    """Type of a request, which determines whether it may be retried after it ran.
+
+    A stream may be retried if its route is resumable. The values are used as labels
+    of metrics.
+    """
 
     IDEMPOTENT = "idempotent"
-    ONCE = "once"
+    NON_IDEMPOTENT = "once"
     STREAM = "stream"
 
 
@@ -47,8 +51,10 @@
     priority : int
         0 is the most urgent.
     shares : tuple of ServiceShare
+        Services that receive the requests of the route, with their weights.
     max_attempts : int
-        Maximum number of servers that may run one request.
+        Maximum number of attempts that may run a request. Attempts of a stream that
+        end with a lost connection do not count.
     is_anonymous : bool
         Whether requests are accepted without an API key.
     is_resumable : bool
@@ -77,20 +83,20 @@
 
 
 class EngineTraits(NamedTuple):
-    """Capacity and copy features of the model engines of a service.
+    """Capacity of the model engines of a service and how they copy runs.
 
     Parameters
     ----------
     slots : int
-        Maximum batch size, requests.
+        Maximum number of requests in a batch.
     memory_tokens : int
-        Memory capacity of one engine.
+        Memory capacity of one engine, tokens.
     copies_continuously : bool
         Whether an engine copies the memory of a run to another engine as it grows.
     copies_on_request : bool
         Whether an engine copies the memory of a run on request.
     copy_ttl_s : float
-        Time after which an engine drops a copy that is not refreshed.
+        Seconds after which an engine drops a copy that is not refreshed.
     """
 
     slots: int
@@ -132,16 +138,16 @@
 
 
 class RequestLimits(NamedTuple):
-    """Limits on the size and the arrival time of caller requests.
+    """Limits on the size of requests of callers and on the time to receive them.
 
     Parameters
     ----------
     max_header_bytes, max_body_bytes : int
-        Maximum sizes.
+        Maximum sizes of the headers and of the body.
     header_timeout_s : float
-        Time for the complete request headers.
+        Maximum time without new data until the request headers are complete.
     idle_timeout_s : float
-        Time for the request body, and time after which an idle connection is closed.
+        Maximum time for the request body, and maximum idle time of a connection.
     """
 
     max_header_bytes: int = 16 * 1024
--- a/packages/node/src/ebonyhaven_node/_configuration_exchange.py
+++ b/packages/node/src/ebonyhaven_node/_configuration_exchange.py
@@ -1,4 +1,4 @@
-"""Messages that instances exchange about their configurations."""
+"""Interface to exchange configuration versions with other instances."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     version : int
         Active version of the sender, 0 while it is starting.
     highest_version : int
-        Highest version that the sender knows of.
+        Highest version that the sender knows.
     request_incarnation : int
-        Incarnation of the requesting instance.
+        Incarnation in the request.
     entry : ConfigurationEntry or None
         Content of ``version``; None while the sender is starting or if the
         requesting instance already has it.
@@ -51,14 +51,15 @@
 
     @abc.abstractmethod
     def send_request(self, name: str, content_version: int, incarnation: int) -> None:
-        """Request the active version of an instance.
+        """Request the active version of an instance, and its content if it is newer.
 
         Parameters
         ----------
         name : str
             Name of the instance.
         content_version : int
-            The response includes the content of a version above this one.
+            Highest version of which this instance has the content; the response
+            includes the content of a higher version.
         incarnation : int
             Incarnation of this instance, returned in the response.
         """
--- a/packages/node/src/ebonyhaven_node/forwarding/_connection_pool.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_connection_pool.py
@@ -12,11 +12,11 @@
 from ebonyhaven_node.forwarding._http_client import HttpConnection
 
 CONNECT_TIMEOUT_S = 0.3  # a running server accepts within a few milliseconds
-SWEEP_INTERVAL_S = 0.5
+SWEEP_INTERVAL_S = 0.5  # between calls of `ConnectionPool.close_expired`
 
 
 class _ConnectionFactory(ClientFactory):
-    """Opens one connection and reports a failure to do so."""
+    """Factory of one connection that reports a failed connection attempt."""
 
     noisy = False
 
@@ -32,7 +32,7 @@
         self._on_failed = on_failed
 
     def buildProtocol(self, address: object) -> HttpConnection:  # noqa: N802 Twisted API
-        """Return the connection, which reports itself once established."""
+        """Return the connection, which calls ``on_connected`` once established."""
         self._connection.factory = self
         return self._connection
 
@@ -42,7 +42,7 @@
 
 
 class _PooledConnection(HttpConnection):
-    """Connection that reports that it is established."""
+    """Connection that calls ``on_connected`` once it is established."""
 
     on_connected: Callable[[HttpConnection], None]
 
@@ -53,26 +53,26 @@
 
 
 class PendingConnection:
-    """Connection that is being established and can be cancelled."""
+    """Connection attempt that can be cancelled."""
 
-    __slots__ = ("_connector", "_is_done")
+    __slots__ = ("_connector", "_is_finished")
 
     def __init__(self) -> None:
         self._connector = None
-        self._is_done = False
+        self._is_finished = False
 
     def set_connector(self, connector: object) -> None:
         """Set the connector that `cancel` disconnects."""
         self._connector = connector
 
     def finish(self) -> bool:
-        """Mark as done; return whether it was neither done nor cancelled before."""
-        was_waiting = not self._is_done
-        self._is_done = True
-        return was_waiting
+        """Mark the attempt as finished; return whether it was still pending."""
+        was_pending = not self._is_finished
+        self._is_finished = True
+        return was_pending
 
     def cancel(self) -> None:
-        """Stop connecting, unless the connection is established or has failed."""
+        """Cancel the attempt unless it has succeeded or failed."""
         if self.finish() and self._connector is not None:
             self._connector.disconnect()
 
@@ -84,12 +84,12 @@
     ----------
     reactor : IReactorTCP
     clock : callable
-        Returns seconds.
+        Returns monotonic time in seconds.
 
     Attributes
     ----------
     opened_count : int
-        Connections established since the start.
+        Number of connections established since the pool was created.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         self._reactor = reactor
         self._clock = clock
         self._idle: dict[str, list[HttpConnection]] = {}
-        self._open: dict[str, int] = {}
+        self._open_counts: dict[str, int] = {}
         self.opened_count = 0
 
     def count_open(self, address: str) -> int:
@@ -107,12 +107,15 @@
         Parameters
         ----------
         address : str
+            ``IP:PORT``.
         """
-        return self._open.get(address, 0)
+        return self._open_counts.get(address, 0)
 
     def acquire_idle(self, address: str) -> HttpConnection | None:
         """Remove a reusable idle connection from the pool and return it.
 
+        Connections that turn out not to be reusable are closed.
+
         Parameters
         ----------
         address : str
@@ -149,8 +152,9 @@
         on_connected : callable
             Called with the established connection.
         on_failed : callable
-            Called with the reason if connecting failed.
+            Called with the reason if the attempt failed.
         timeout_s : float
+            Time limit of the attempt, seconds.
 
         Returns
         -------
@@ -158,13 +162,13 @@
         """
         pending = PendingConnection()
         connection = _PooledConnection(
-            on_idle=lambda each: self._add_idle(address, each),
-            on_lost=lambda each: self._remove(address, each),
+            on_idle=lambda connection: self._add_idle(address, connection),
+            on_lost=lambda connection: self._remove(address, connection),
             clock=self._clock,
         )
 
         def handle_connected(established: HttpConnection) -> None:
-            self._open[address] = self._open.get(address, 0) + 1
+            self._open_counts[address] = self._open_counts.get(address, 0) + 1
             self.opened_count += 1
             if pending.finish():
                 on_connected(established)
@@ -190,15 +194,16 @@
     ) -> None:
         """Probe whether a server accepts connections.
 
-        An established connection is kept as idle.
+        An established connection is added to the idle connections of the pool.
 
         Parameters
         ----------
         address : str
             ``IP:PORT``.
         on_result : callable
-            Called with whether the server accepted the connection.
+            Called with True if the server accepted the connection, otherwise False.
         timeout_s : float
+            Time limit of the probe, seconds.
         """
 
         def handle_connected(connection: HttpConnection) -> None:
@@ -219,12 +224,13 @@
         Parameters
         ----------
         address : str
+            ``IP:PORT``.
         """
         for connection in self._idle.pop(address, []):
             connection.abort()
 
     def close_expired(self) -> None:
-        """Close idle connections that are not reusable any more."""
+        """Close the idle connections that servers may have timed out."""
         now = self._clock()
         for address, connections in list(self._idle.items()):
             reusable = [each for each in connections if each.is_reusable(now)]
@@ -242,7 +248,7 @@
         self._idle.setdefault(address, []).append(connection)
 
     def _remove(self, address: str, connection: HttpConnection) -> None:
-        self._open[address] = max(0, self._open.get(address, 0) - 1)
+        self._open_counts[address] = max(0, self._open_counts.get(address, 0) - 1)
         idle = self._idle.get(address, [])
         if connection in idle:
             idle.remove(connection)
--- a/packages/standins/src/ebonyhaven_standins/bench/_loss_measures.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_loss_measures.py
@@ -1,4 +1,8 @@
-"""Resume latencies of streams after a loss, and the lowest achievable latencies."""
+"""Resume latencies of streams after a loss, and their floors.
+
+The floor of a latency is the lowest value that is achievable with the speed of the
+engine stand-in and, if the loss is silent, with the silence timeout of the node.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +14,11 @@
 from ebonyhaven_standins.caller import COMPLETED, ReceivedToken, RequestRecord
 from ebonyhaven_standins.checker import LogLine, summarize_latencies
 
-# Tokens received within this time after the loss were in flight when it occurred.
+# Tokens received within this time after a loss count as sent before it.
 IN_FLIGHT_GRACE_S = 0.05
-# Default speed of the engine stand-in, from which the floor is computed.
+# Default speed of the engine stand-in; the floors are computed from it.
 PREFILL_TOKENS_PER_S = 4000.0
-STEP_S = 0.02
+DECODE_STEP_S = 0.02
 
 
 class LossEvent(NamedTuple):
@@ -28,9 +32,10 @@
         Name of the backend server that was lost or whose connections became
         silent; empty if none.
     address : str
-        Caller address of the lost instance; empty if none was lost.
+        Address at which the lost instance served callers; empty if none was lost.
     is_silent : bool
-        Whether connections stay open, so that only missing data shows the loss.
+        Whether connections stay open, so that only a silence timeout detects the
+        loss.
     """
 
     time: float
@@ -40,9 +45,15 @@
 
 
 class ResumeSample(NamedTuple):
-    """Resume latency of one stream and its floor, seconds.
+    """Resume latency of one stream.
 
-    ``latency_s`` is None if the stream never resumed.
+    Parameters
+    ----------
+    request_class : str
+    latency_s : float or None
+        Time from the loss to the first new token; None if the stream never resumed.
+    floor_s : float
+        Lowest achievable latency.
     """
 
     request_class: str
@@ -51,7 +62,11 @@
 
 
 class ResumeSummary(NamedTuple):
-    """Quantiles of the resume latencies of one class and of their floors, seconds."""
+    """Quantiles of the resume latencies of one class and of their floors, seconds.
+
+    ``count`` is the number of interrupted streams, ``unresumed`` the number of those
+    that never resumed. The latency quantiles are of the resumed streams.
+    """
 
     count: int
     unresumed: int
@@ -63,7 +78,7 @@
 
     @property
     def p95_to_floor_ratio(self) -> float:
-        """Ratio of the 95th percentiles of latency and floor; 0 if the floor is 0."""
+        """``p95`` as a multiple of ``floor_p95``; 0 if the floor is 0."""
         return self.p95 / self.floor_p95 if self.floor_p95 else 0.0
 
 
@@ -94,7 +109,7 @@
         received = _list_received(attempts[0], loss)
         if received and _is_affected(attempts[0], received[-1], loss):
             class_name = attempts[0]["request_class"]
-            resumed = _find_resume(attempts, len(received), loss)
+            resumed = _find_first_resumed_token(attempts, len(received), loss)
             latency_s = resumed.time - loss.time if resumed else None
             floor_s = _compute_floor_s(attempts[0], loss, lines, targets_s[class_name])
             samples.append(ResumeSample(class_name, latency_s, floor_s))
@@ -127,8 +142,8 @@
 
 
 def _list_received(record: RequestRecord, loss: LossEvent) -> list[ReceivedToken]:
-    latest = loss.time + IN_FLIGHT_GRACE_S
-    return [token for token in record["tokens"] if token.time <= latest]
+    received_until = loss.time + IN_FLIGHT_GRACE_S
+    return [token for token in record["tokens"] if token.time <= received_until]
 
 
 def _is_affected(record: RequestRecord, last: ReceivedToken, loss: LossEvent) -> bool:
@@ -140,7 +155,7 @@
     return last.server == loss.engine or address == loss.address
 
 
-def _find_resume(
+def _find_first_resumed_token(
     attempts: Sequence[RequestRecord], received_count: int, loss: LossEvent
 ) -> ReceivedToken | None:
     for record in attempts:
@@ -156,16 +171,23 @@
     lines: Sequence[LogLine],
     target_s: float,
 ) -> float:
+    """Return the lowest achievable resume latency, seconds.
+
+    It is the time to detect a silent loss, or one decode step for any other loss,
+    plus the prefill and the first decode step of the continuation, if there was one.
+    """
     prefill_tokens = _find_continuation_prefill_tokens(record, loss, lines)
     compute_s = (
         0.0
         if prefill_tokens is None
-        else prefill_tokens / PREFILL_TOKENS_PER_S + STEP_S
+        else prefill_tokens / PREFILL_TOKENS_PER_S + DECODE_STEP_S
     )
     if not loss.is_silent:
-        return compute_s + STEP_S
+        return compute_s + DECODE_STEP_S
     plan = plan_resume(
-        resume_target_s=target_s, pace=StreamPace(gap_s=STEP_S), continuation_s=0.0
+        resume_target_s=target_s,
+        pace=StreamPace(gap_s=DECODE_STEP_S),
+        continuation_s=0.0,
     )
     return plan.suspect_after_s + compute_s
 
@@ -173,7 +195,7 @@
 def _find_continuation_prefill_tokens(
     record: RequestRecord, loss: LossEvent, lines: Sequence[LogLine]
 ) -> int | None:
-    """Return the prefill tokens of the continuation.
+    """Return the number of prefill tokens of the continuation.
 
     None if there was no continuation, 0 if it logged no token count.
     """
--- a/packages/standins/src/ebonyhaven_standins/scenario/_deployments.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/_deployments.py
@@ -1,4 +1,4 @@
-"""Processes that a scenario starts, and their declaration."""
+"""Processes that a scenario starts, and the configuration that it declares."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
     Cluster,
 )
 
+# Names of the request classes.
 LOOK_UP = "look-up"
 ANALYSIS = "analysis"
 
@@ -28,13 +29,15 @@
     name : str
         Name of the backend server.
     data_centre : str
-        Location of the backend server.
+        Data centre in which the backend server is registered.
     options : tuple of str
-        Additional command line options.
+        Additional command line options of the backend server.
     checks_fence : bool
-        Whether it rejects orders with a stale fencing number; engines only.
+        Whether an engine rejects orders with a stale fencing number; ignored for
+        services.
     time_scale : float
-        Factor applied to the times of an engine; below 1 is faster.
+        Factor applied to the processing times of an engine, which is faster below 1;
+        ignored for services.
     """
 
     name: str
@@ -46,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class Deployment:
-    """Processes of a scenario, with the inputs of their declaration.
+    """Processes of a scenario and the workspaces to declare.
 
     Parameters
     ----------
@@ -111,7 +114,10 @@
 
 
 def start_deployment(cluster: Cluster, deployment: Deployment) -> int:
-    """Start all processes, write the declaration and wait until all are ready.
+    """Start all processes and wait until they are ready.
+
+    The declaration is written once the platform is ready, before the backend servers
+    and instances are started.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/slopes/_memory.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_memory.py
@@ -1,4 +1,4 @@
-"""Memory of control state, as traced by `tracemalloc`."""
+"""Memory of membership, routing and workspace state, traced by `tracemalloc`."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
 def measure_allocated_bytes(
     build: Callable[[int], object], counts: Iterable[int]
 ) -> list[Point]:
-    """Return the allocated bytes of a state at several sizes.
+    """Measure the memory that objects with different numbers of items allocate.
 
     Parameters
     ----------
     build : callable
-        Builds and returns the state for a number of items.
+        Builds and returns an object for a number of items.
     counts : iterable of int
-        Numbers of items to build.
+        Numbers of items to measure.
 
     Returns
     -------
     list of Point
-        Bytes by number of items.
+        Allocated bytes by number of items.
     """
-    build(1)  # fills caches, which are not part of the state
+    build(1)  # fills caches, so that they are not measured
     points = []
     for count in counts:
         gc.collect()
@@ -97,7 +97,7 @@
 
 
 def build_server_table(count: int) -> ServerTable:
-    """Return a table of ``count`` backend servers with load reports and requests."""
+    """Return a table of ``count`` servers, each with a load report and 16 requests."""
     table = ServerTable()
     table.replace([make_server(number) for number in range(count)])
     for state in table:
@@ -109,7 +109,7 @@
 
 
 def build_workspaces(count: int) -> list[object]:
-    """Return ``count`` declared workspaces and a ledger of their use per class."""
+    """Return a usage ledger and the declarations of ``count`` workspaces."""
     ledger = UsageLedger(NOW_S)
     declared = {}
     for number in range(count):
