--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -136,9 +136,9 @@
             return
         self._state.leaving = True
         self._membership.leave()
-        _log.info("node_leaving", open_runs=len(self._runs.active()))
+        _log.info("node_leaving", open_runs=len(self._runs.list_active()))
         await task.deferLater(self._reactor, LEAVE_NOTICE_S)
-        while any(run.sinks for run in self._runs.active()):
+        while any(run.sinks for run in self._runs.list_active()):
             await task.deferLater(self._reactor, STREAM_POLL_INTERVAL_S)
         await self._pools.release()
         await self._membership.depart()
--- a/packages/node/src/ebonyhaven_node/_runs.py
+++ b/packages/node/src/ebonyhaven_node/_runs.py
@@ -188,7 +188,7 @@
         if self._runs.get(run.request.run_id) is run:
             del self._runs[run.request.run_id]
 
-    def active(self) -> list[Run]:
+    def list_active(self) -> list[Run]:
         """Return the runs that have not ended."""
         return [run for run in self._runs.values() if not run.ended]
 
