--- a/packages/node/src/ebonyhaven_node/_candidates.py
+++ b/packages/node/src/ebonyhaven_node/_candidates.py
@@ -43,7 +43,8 @@
     Attributes
     ----------
     primary : BackendServer or None
-        Backend server on which the run was last known to be.
+        Backend server that is expected to execute the run: that of the last stream
+        promoted, or opened while no other stream was open.
     primary_first_offset : int
         Offset of the first token relayed from the primary server.
     """
--- a/packages/node/src/ebonyhaven_node/_channels.py
+++ b/packages/node/src/ebonyhaven_node/_channels.py
@@ -121,8 +121,8 @@
     loss : float
         Share of the messages that are dropped instead of sent, 0 to 1.
     routes : mapping of str to str
-        Address to connect to by control address, such as a link of a fault proxy.
-        Control addresses without a route are connected to directly.
+        Maps control addresses to the addresses to connect to instead, such as
+        those of a fault proxy. Other control addresses are connected to directly.
     """
 
     loss: float = 0.0
--- a/packages/node/src/ebonyhaven_node/_claims.py
+++ b/packages/node/src/ebonyhaven_node/_claims.py
@@ -88,7 +88,6 @@
     pauses : PauseDetector
         Detects pauses of this process.
     reactor : IReactorTime
-        Source of delayed calls.
     """
 
     def __init__(
@@ -188,7 +187,7 @@
         Returns
         -------
         Claim
-            Not `is_acquired` if another instance was first.
+            Its ``is_acquired`` is False if another instance has changed the row since.
 
         Raises
         ------
--- a/packages/node/src/ebonyhaven_node/_configuration.py
+++ b/packages/node/src/ebonyhaven_node/_configuration.py
@@ -1,11 +1,11 @@
 """Controller that reads configurations from the table and from peers.
 
-Each instance polls the table for changes; a poll without changes is cheap. An
-instance that activates a new version announces it in its next heartbeats, and
-instances with an older version request the content. Versions therefore also
-spread during an outage of the table and reach instances without a connection to
-it. ``ebonyhaven_decisions`` decides which version becomes active; this module
-does the input and output.
+Each instance polls the table; a poll returns only the rows that have changed since
+the last version processed. An instance that activates a new version announces it in
+its next heartbeats, and instances with an older version request the content.
+Versions therefore also spread during an outage of the table and reach instances
+without a connection to it. ``ebonyhaven_decisions`` decides which version becomes
+active; this module performs the I/O.
 """
 
 from __future__ import annotations
@@ -89,7 +89,7 @@
 
     @property
     def version(self) -> int:
-        """Active version, 0 while starting."""
+        """Active version; 0 until a configuration is active."""
         return self._view.version
 
     def connect_peers(self, peers: ConfigurationPeers) -> None:
@@ -260,6 +260,7 @@
         self._apply_view(view, "peer")
 
     def _is_usable(self, entry: ConfigurationEntry) -> bool:
+        """Return whether an entry is valid; only newer entries are validated."""
         if entry.version <= self.version:
             return True
         try:
--- a/packages/node/src/ebonyhaven_node/_content_guard.py
+++ b/packages/node/src/ebonyhaven_node/_content_guard.py
@@ -18,16 +18,18 @@
 
     Parameters
     ----------
-    content : str
+    content_digest : str
         Digest of the request content.
     crashes : CrashReports
     reactor : IReactorTime
     """
 
-    __slots__ = ("_content", "_crashes", "_reactor")
+    __slots__ = ("_content_digest", "_crashes", "_reactor")
 
-    def __init__(self, *, content: str, crashes: CrashReports, reactor: IReactorTime):
-        self._content = content
+    def __init__(
+        self, *, content_digest: str, crashes: CrashReports, reactor: IReactorTime
+    ):
+        self._content_digest = content_digest
         self._crashes = crashes
         self._reactor = reactor
 
@@ -38,33 +40,33 @@
         ----------
         server : BackendServer
         progress_tokens : int
-            Tokens that the attempt had produced on it.
+            Tokens that the engine had generated for the run.
         """
         self._crashes.record_death(
-            self._content, server=server, progress_tokens=progress_tokens
+            self._content_digest, server=server, progress_tokens=progress_tokens
         )
 
     def is_suspect(self) -> bool:
         """Return whether an engine has died while it was running this content."""
-        return self._crashes.judge(self._content) is not CrashVerdict.CLEAR
+        return self._crashes.judge(self._content_digest) is not CrashVerdict.CLEAR
 
     async def check(self, tag: OutcomeTag) -> None:
-        """Wait until the evidence is conclusive; raise if it stops the content.
+        """Wait until the evidence is conclusive; raise if the content must not run.
 
         Parameters
         ----------
         tag : OutcomeTag
-            Tag of the outcome in that case.
+            Tag of the outcome to raise.
 
         Raises
         ------
         RequestFailure
             If the content must not run again.
         """
-        verdict = self._crashes.judge(self._content)
+        verdict = self._crashes.judge(self._content_digest)
         while verdict is CrashVerdict.UNDECIDED:
             await task.deferLater(self._reactor, EVIDENCE_POLL_INTERVAL_S)
-            verdict = self._crashes.judge(self._content)
+            verdict = self._crashes.judge(self._content_digest)
         if verdict is CrashVerdict.STOPPED:
             reason = "backend servers crashed each time they ran this content"
             raise make_failure(tag, "crash_check", reason, status=422)
--- a/packages/node/src/ebonyhaven_node/_crash_reports.py
+++ b/packages/node/src/ebonyhaven_node/_crash_reports.py
@@ -1,4 +1,4 @@
-"""Evidence of contents that crash engines, shared between instances by gossip."""
+"""Evidence of request content that crashes engines, shared by gossip."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ebonyhaven_node._digests import Digest, TableDigest
 
 DIGEST_CODE = "x"
-PROCESS_ID_CHARS = 8
+PROCESS_ID_HEX_DIGITS = 8
 
 
 class ServerProcess(Protocol):
@@ -53,7 +53,7 @@
     def record_death(
         self, content: str, *, server: ServerProcess, progress_tokens: int
     ) -> None:
-        """Record the death of an engine that was running a content.
+        """Record the death of an engine that was running the content.
 
         Parameters
         ----------
@@ -62,7 +62,7 @@
         server : ServerProcess
             The engine that died.
         progress_tokens : int
-            Tokens that the attempt had produced on it.
+            Tokens that the engine had generated for the run.
         """
         process = _format_process_id(server)
         now = time.monotonic()
@@ -78,7 +78,7 @@
         self._table.merge(entry, now)
 
     def judge(self, content: str) -> CrashVerdict:
-        """Decide whether a content may run again.
+        """Decide whether the content may run again.
 
         Parameters
         ----------
@@ -101,7 +101,10 @@
         )
 
     def _merge_entry(self, entry: GossipEntry) -> None:
-        content, process = entry.key[:-PROCESS_ID_CHARS], entry.key[-PROCESS_ID_CHARS:]
+        content, process = (
+            entry.key[:-PROCESS_ID_HEX_DIGITS],
+            entry.key[-PROCESS_ID_HEX_DIGITS:],
+        )
         age_s = max(0.0, time.time() - entry.version)
         evidence = CrashEvidence(
             process, age_s, is_strong=entry.value > 0, is_tokenless=entry.value > 1
@@ -112,4 +115,4 @@
 def _format_process_id(server: ServerProcess) -> str:
     """Return a short identifier that changes when the process is replaced."""
     identity = f"{server.name}/{server.identity}".encode()
-    return hashlib.sha256(identity).hexdigest()[:PROCESS_ID_CHARS]
+    return hashlib.sha256(identity).hexdigest()[:PROCESS_ID_HEX_DIGITS]
--- a/packages/node/src/ebonyhaven_node/_digests.py
+++ b/packages/node/src/ebonyhaven_node/_digests.py
@@ -1,4 +1,4 @@
-"""State of controllers that is gossiped on heartbeats."""
+"""State of controllers that is gossiped in heartbeats."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
     list
     """
     chosen = []
-    budget_bytes -= 2
+    budget_bytes -= 2  # brackets of the list
     for entry in entries:
         budget_bytes -= len(json.dumps(entry, separators=(",", ":"))) + 1
         if budget_bytes < 0:
--- a/packages/node/src/ebonyhaven_node/_driver_dependencies.py
+++ b/packages/node/src/ebonyhaven_node/_driver_dependencies.py
@@ -25,8 +25,10 @@
 
     Parameters
     ----------
-    first_token_s, resume_s : float
-        Targets of the class, seconds.
+    first_token_s : float
+        Target of the class for the time to the first token, seconds.
+    resume_s : float
+        Target of the class for the time from a loss to the next token, seconds.
     may_wait_s : float
         Time that a request may wait for a slot, seconds.
     pools : frozenset of str
@@ -55,8 +57,8 @@
     reactor : IReactorTime
     rng : random.Random
     continue_runs : bool
-        Whether to continue a run on another engine if its engine fails. False
-        fails the run; this is the baseline for comparisons.
+        Whether to continue a run on another engine if its engine fails. If
+        False, the run fails instead; benchmarks use this as the baseline.
     """
 
     engines: EngineClient
--- a/packages/node/src/ebonyhaven_node/_drivers.py
+++ b/packages/node/src/ebonyhaven_node/_drivers.py
@@ -31,7 +31,7 @@
 from ebonyhaven_node._engines import CONNECTION_REFUSED, EngineStream
 from ebonyhaven_node._events import Token
 from ebonyhaven_node._failures import make_failure
-from ebonyhaven_node._lifecycles import RunState, StateObserver, start_lifecycle
+from ebonyhaven_node._lifecycles import RunState, StateObserver, make_run_lifecycle
 from ebonyhaven_node._run_claims import RunClaim
 from ebonyhaven_node._runs import Run
 from ebonyhaven_node._scheduling import Slot, SlotRequest
@@ -41,13 +41,13 @@
 from ebonyhaven_node.exceptions import EngineLost, EngineRefusal, NodeError
 
 RESUME_TIMEOUT_S = 30.0
-DETACH_GRACE_S = 0.6
+DETACH_GRACE_S = 0.6  # time for a disconnected caller to reconnect
 
 _log = structlog.get_logger()
 
 
 class Signal(enum.Enum):
-    """Events that a driver waits for."""
+    """Changes in the state of a run that its driver waits for."""
 
     SILENCE = "silence"
     LOST = "lost"
@@ -86,11 +86,11 @@
         )
         self._detach_timer = None
         self._guard = ContentGuard(
-            content=run.request.content_digest,
+            content_digest=run.request.content_digest,
             crashes=dependencies.crashes,
             reactor=dependencies.reactor,
         )
-        self._lifecycle = start_lifecycle(StateObserver(self._log_state))
+        self._lifecycle = make_run_lifecycle(StateObserver(self._log_state))
         self._opener = StreamOpener(
             run=run,
             targets=targets,
@@ -108,17 +108,17 @@
     # -- entry points ------------------------------------------------------
 
     async def drive_new_run(self) -> None:
-        """Start the run on an engine and follow it to its end."""
+        """Start the run on an engine and supervise it until it ends."""
         await self._drive(self._open_new())
 
     async def drive_existing_run(self, server: BackendServer | None) -> None:
-        """Attach to a run that an engine has, or continue it; follow it to its end.
+        """Attach to a run in progress, or continue it; supervise it until it ends.
 
         Parameters
         ----------
         server : BackendServer or None
-            Backend server named in the caller's position; None if this instance does
-            not know it.
+            Backend server named in the caller's ``Last-Event-ID``; None if this
+            instance does not know it.
         """
         await self._drive(self._open_existing(server))
 
@@ -203,9 +203,10 @@
     async def _recover(self, signal: Signal) -> None:
         """Recover a run whose stream is silent or lost.
 
-        The engine is probed. Unless it still has the run and may be waited for, the
-        run is continued elsewhere; this starts in parallel with the probe if the
-        resume plan requires it and the request is repeatable.
+        The engine is probed. If it still has the run and the limit of probes
+        without a token is not exceeded, the driver keeps waiting for it. Otherwise
+        the run is continued elsewhere. The continuation starts in parallel with the
+        probe if the resume plan requires it and the request is repeatable.
         """
         if not self._dependencies.continue_runs:
             raise self._make_server_failure(OutcomeTag.FAILED, "relay", "engine lost")
@@ -232,7 +233,7 @@
             await parallel_continuation
 
     def _has_progressed(self, length: int) -> bool:
-        """Return whether the run has ended or got tokens beyond a length."""
+        """Return whether the run has ended or has more than ``length`` tokens."""
         return self._run.ended or len(self._run.texts) > length
 
     def _may_continue_in_parallel(self) -> bool:
@@ -364,7 +365,7 @@
     # -- attachment --------------------------------------------------------
 
     async def _open_existing(self, server: BackendServer | None) -> None:
-        """Attach to the server in the caller's position, or continue elsewhere.
+        """Attach to the server in ``Last-Event-ID``, or continue elsewhere.
 
         A continuation requires the tokens that the caller has received.
         """
@@ -460,5 +461,5 @@
 
 
 def _ignore_failure(failure: Failure) -> None:
-    """Ignore the failure of a parallel continuation that is not needed."""
+    """Ignore the failure of a parallel continuation that has become redundant."""
     failure.trap(RequestFailure)
--- a/packages/node/src/ebonyhaven_node/_lifecycles.py
+++ b/packages/node/src/ebonyhaven_node/_lifecycles.py
@@ -34,7 +34,7 @@
         """Record that the stream was lost or has exceeded its silence timeout."""
 
     def continue_elsewhere(self) -> None:
-        """Record that another engine is asked to continue the run."""
+        """Record that the run is being sent to another engine to be continued."""
 
     def complete(self) -> None:
         """Record that the last token has arrived."""
@@ -99,4 +99,4 @@
     return builder.build()
 
 
-start_lifecycle = _build_machine()
+make_run_lifecycle = _build_machine()
--- a/packages/node/src/ebonyhaven_node/_listing.py
+++ b/packages/node/src/ebonyhaven_node/_listing.py
@@ -1,4 +1,4 @@
-"""Controller that reads the platform's list and gossips it to other instances."""
+"""Controller that reads the platform's list of processes and gossips it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from ebonyhaven_node._membership import MembershipController
 from ebonyhaven_node._servers import BackendServers
 
-JITTER_RATIO = 0.3
+INTERVAL_JITTER_RATIO = 0.3
 DIGEST_CODE = "i"
 DIGEST_BUDGET_BYTES = 600
 MAX_ENTRIES_PER_MESSAGE = 200
@@ -115,7 +115,9 @@
                 await self._read_once()
             if repair_due and not self._reachable:
                 self._request_listing()
-            interval_s = READ_INTERVAL_S * self._rng.uniform(1 - JITTER_RATIO, 1)
+            interval_s = READ_INTERVAL_S * self._rng.uniform(
+                1 - INTERVAL_JITTER_RATIO, 1
+            )
             self._poll_delay = task.deferLater(self._reactor, interval_s)
             self._poll_delay.addErrback(lambda _: None)
             await self._poll_delay
@@ -129,6 +131,11 @@
             self._apply_call.cancel()
 
     def _is_repair_due(self) -> bool:
+        """Return whether the list is empty or stays inconsistent.
+
+        True for an inconsistent list at every `INCONSISTENT_POLLS_PER_REPAIR`-th
+        consecutive poll.
+        """
         if not self._listing:
             return True
         if self._listing.is_consistent():
@@ -137,7 +144,8 @@
         self._inconsistent_polls += 1
         return self._inconsistent_polls % INCONSISTENT_POLLS_PER_REPAIR == 0
 
-    def _list_live(self) -> list[str]:
+    def _list_available(self) -> list[str]:
+        """Return the names of the instances that are neither suspect nor dead."""
         return [
             record.name
             for record in self._membership.members
@@ -147,7 +155,7 @@
     def _is_due(self) -> bool:
         wall_s = self._wall_clock()
         return self._schedule.is_due(
-            self._list_live(),
+            self._list_available(),
             now=self._clock(),
             wall_s=wall_s,
             age_s=self._listing.compute_age(wall_s),
@@ -166,7 +174,7 @@
             started_at=started_at,
             now=self._clock(),
             wall_s=self._wall_clock(),
-            publish=not all_instances_read(len(self._list_live())),
+            publish=not all_instances_read(len(self._list_available())),
         )
         if changed:
             self._membership.schedule_heartbeats()
@@ -190,7 +198,7 @@
         instances = tuple(item for item in processes if item.kind == "instance")
         self._servers.instances = instances
         self._servers.has_complete_list = self._listing.is_complete()
-        self._membership.merge_list(instances)
+        self._membership.set_listed_instances(instances)
         self._servers.merge_list(
             item for item in processes if item.kind == "backend_server"
         )
--- a/packages/node/src/ebonyhaven_node/_load_poller.py
+++ b/packages/node/src/ebonyhaven_node/_load_poller.py
@@ -16,7 +16,7 @@
 from ebonyhaven_node._servers import BackendServer, BackendServers, ReportedLoad
 
 POLL_INTERVAL_S = 0.25
-JITTER_RATIO = 0.3
+INTERVAL_JITTER_RATIO = 0.3
 MAX_LOAD_AGE_S = 1.0
 READ_TIMEOUT_S = 1.0
 SAMPLE_SIZE = 8
@@ -60,7 +60,9 @@
             server = self._choose()
             if server is not None:
                 await self._read(server)
-            interval_s = POLL_INTERVAL_S * self._rng.uniform(1 - JITTER_RATIO, 1)
+            interval_s = POLL_INTERVAL_S * self._rng.uniform(
+                1 - INTERVAL_JITTER_RATIO, 1
+            )
             self._poll_delay = task.deferLater(self._reactor, interval_s)
             self._poll_delay.addErrback(lambda _: None)
             await self._poll_delay
--- a/packages/node/src/ebonyhaven_node/_log_writer.py
+++ b/packages/node/src/ebonyhaven_node/_log_writer.py
@@ -136,7 +136,7 @@
 
 
 class LogOutput:
-    """Log output of the process, with the number of lost lines.
+    """Log output of the process, with the number of dropped lines.
 
     Parameters
     ----------
@@ -148,8 +148,8 @@
         self._writer = writer
         self._limiter = limiter
 
-    def count_lost_lines(self) -> int:
-        """Return the number of lines lost since the start of the process."""
+    def count_dropped_lines(self) -> int:
+        """Return the number of lines dropped since the start of the process."""
         return self._writer.dropped + self._limiter.dropped
 
     def drain(self) -> None:
@@ -157,7 +157,7 @@
         self._writer.drain()
 
     def register_metric(self, registry: CollectorRegistry) -> None:
-        """Register a metric of the number of lost lines.
+        """Register a metric of the number of dropped lines.
 
         Parameters
         ----------
@@ -168,7 +168,7 @@
             "Log lines that were not written since the start.",
             registry=registry,
         )
-        lost_lines.set_function(self.count_lost_lines)
+        lost_lines.set_function(self.count_dropped_lines)
 
 
 def configure_logs(descriptor: int) -> LogOutput:
--- a/packages/node/src/ebonyhaven_node/_membership.py
+++ b/packages/node/src/ebonyhaven_node/_membership.py
@@ -147,7 +147,7 @@
         self._seeds = dict(addresses)
         self._membership.set_listed(self._seeds)
 
-    def merge_list(self, instances: Iterable[ListedProcess]) -> None:
+    def set_listed_instances(self, instances: Iterable[ListedProcess]) -> None:
         """Set the instances on the platform's list, which may be out of date.
 
         Parameters
@@ -164,9 +164,9 @@
         self._membership.set_listed(self._seeds | addresses)
 
     def set_excluded_entries(self, names: Iterable[str]) -> None:
-        """Set the instances that callers do not receive as entry points.
+        """Set the instances that are left out of the entry points for callers.
 
-        The next `merge_list` replaces them by the leaving instances.
+        The next `set_listed_instances` replaces them by the leaving instances.
 
         Parameters
         ----------
--- a/packages/node/src/ebonyhaven_node/_membership_metrics.py
+++ b/packages/node/src/ebonyhaven_node/_membership_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the membership."""
+"""Metrics of the membership protocol."""
 
 from __future__ import annotations
 
--- a/packages/node/src/ebonyhaven_node/_metrics.py
+++ b/packages/node/src/ebonyhaven_node/_metrics.py
@@ -16,7 +16,17 @@
 
 
 class RunMetrics(NamedTuple):
-    """Histograms of one run, each by workspace and by class."""
+    """Histograms for the durations of one run, each by workspace and by class.
+
+    Parameters
+    ----------
+    first_token : tuple of Histogram
+        Time to the first token, seconds.
+    gap : tuple of Histogram
+        Time between tokens, seconds.
+    resume : tuple of Histogram
+        Time from a loss to the next token, seconds.
+    """
 
     first_token: tuple[Histogram, Histogram]
     gap: tuple[Histogram, Histogram]
--- a/packages/node/src/ebonyhaven_node/_node_runner.py
+++ b/packages/node/src/ebonyhaven_node/_node_runner.py
@@ -28,7 +28,7 @@
     Returns
     -------
     int
-        Exit code of the process.
+        Exit code of the process: 0, or `EXIT_START_FAILED`.
     """
     exit_codes: list[int] = []
     node = Node(settings, reactor)
--- a/packages/node/src/ebonyhaven_node/_orphans.py
+++ b/packages/node/src/ebonyhaven_node/_orphans.py
@@ -19,14 +19,15 @@
 INITIAL_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 5.0
 MAX_TRIES = 20
-MAX_ATTENDED_TRIES = 3  # while a connection is attached to the run
+MAX_TRIES_WHILE_ATTACHED = 3  # a connection stays attached to the run
 MAX_PENDING_CANCELLATIONS = 2048
 
 
 class OrphanCanceller:
-    """Cancels abandoned attempts as soon as their engines are reachable.
+    """Cancels abandoned attempts, with retries while their engines are unreachable.
 
-    An attempt is not cancelled while a connection is attached to its run.
+    An attempt is given up after `MAX_TRIES` tries, or when the engine refuses the
+    connection. An attempt is not cancelled while a connection is attached to its run.
 
     Parameters
     ----------
@@ -77,7 +78,7 @@
     ) -> None:
         delay_s = INITIAL_RETRY_DELAY_S
         result = "unreachable"
-        attended_tries = 0
+        tries_while_attached = 0
         await task.deferLater(self._reactor, STREAM_CLOSE_DELAY_S)
         for _ in range(MAX_TRIES):
             try:
@@ -85,8 +86,8 @@
                     server, run_id, attempt=attempt, timeout_s=CANCEL_TIMEOUT_S
                 )
                 result = "cancelled" if cancelled else "attended"
-                attended_tries += 1
-                if cancelled or attended_tries == MAX_ATTENDED_TRIES:
+                tries_while_attached += 1
+                if cancelled or tries_while_attached == MAX_TRIES_WHILE_ATTACHED:
                     break
             except EngineRefusal as refusal:
                 if refusal.reason == CONNECTION_REFUSED:
--- a/packages/node/src/ebonyhaven_node/_policy_scheduling.py
+++ b/packages/node/src/ebonyhaven_node/_policy_scheduling.py
@@ -1,6 +1,6 @@
 """Slot scheduler based on ``ebonyhaven_decisions``.
 
-The decision package does admission, fair queueing and routing.
+The decision package performs admission, fair queueing and routing.
 """
 
 from __future__ import annotations
--- a/packages/node/src/ebonyhaven_node/_requests.py
+++ b/packages/node/src/ebonyhaven_node/_requests.py
@@ -20,9 +20,9 @@
 MAX_BODY_BYTES = 2 * 1024 * 1024
 MAX_TOKENS = 32768
 CHARACTERS_PER_TOKEN = 4
-RUN_ID_DIGITS = 32
-_KEY = re.compile(r"[!-~]{1,128}")
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+RUN_ID_HEX_DIGITS = 32
+_KEY_PATTERN = re.compile(r"[!-~]{1,128}")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
 
 @attrs.frozen(slots=True, kw_only=True)
@@ -65,11 +65,11 @@
     def run_id(self) -> str:
         """Identifier of the run, the same for all submissions of a key."""
         identity = f"{self.workspace}\0{self.key}".encode()
-        return hashlib.sha256(identity).hexdigest()[:RUN_ID_DIGITS]
+        return hashlib.sha256(identity).hexdigest()[:RUN_ID_HEX_DIGITS]
 
     @property
     def digest(self) -> str:
-        """Digest that differs if a key is used again for another request."""
+        """Digest used to detect that a key is reused for a different request."""
         fields = [self.model, self.adapter, self.prompt, self.max_tokens]
         fields.append(self.repeatable)
         return hashlib.sha256(json.dumps(fields).encode()).hexdigest()[:16]
@@ -160,7 +160,7 @@
     """
     if text is None:
         return generated
-    if not _KEY.fullmatch(text):
+    if not _KEY_PATTERN.fullmatch(text):
         raise make_rejection("Idempotency-Key must be 1 to 128 printable characters")
     return text
 
@@ -283,7 +283,7 @@
 
 def _parse_name(body: dict[str, Any], field: str) -> str:
     value = body.get(field)
-    if not isinstance(value, str) or not _NAME.fullmatch(value):
+    if not isinstance(value, str) or not _NAME_PATTERN.fullmatch(value):
         raise make_rejection(f"{field} must be a name, got {value!r}")
     return value
 
--- a/packages/node/src/ebonyhaven_node/_servers.py
+++ b/packages/node/src/ebonyhaven_node/_servers.py
@@ -12,7 +12,7 @@
 
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 8.0
-DEFAULT_CAPACITY = 16
+DEFAULT_CAPACITY_SEQUENCES = 16
 DEFAULT_PACE_S = 0.03
 DEFAULT_PREFILL_TOKENS_PER_S = 4000.0
 
@@ -99,7 +99,7 @@
     region: str = ""
     identity: str = ""
     leaving: bool = False
-    capacity: int = DEFAULT_CAPACITY
+    capacity: int = DEFAULT_CAPACITY_SEQUENCES
     running: int = 0
     waiting: int = 0
     pace_s: float = DEFAULT_PACE_S
@@ -168,7 +168,7 @@
     has_complete_list : bool
         Whether the whole list is known and not just some of its entries.
     listener : ServerListener or None
-        Listener that each added server gets.
+        Listener that is set on each added server.
     """
 
     __slots__ = (
--- a/packages/node/src/ebonyhaven_node/_settings.py
+++ b/packages/node/src/ebonyhaven_node/_settings.py
@@ -12,8 +12,8 @@
 
 from ebonyhaven_node.exceptions import SettingsError
 
-_ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+_ADDRESS_PATTERN = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 RESUME_MODES = ("continue", "restart")
 SCHEDULING_ALGORITHMS = tuple(each.value for each in SchedulingAlgorithm)
 
@@ -69,12 +69,12 @@
 
 
 def _check_name(key: str, value: Any) -> None:
-    if not isinstance(value, str) or not _NAME.fullmatch(value):
+    if not isinstance(value, str) or not _NAME_PATTERN.fullmatch(value):
         raise SettingsError(key, "a name of letters, digits, '.', '_', '-'", value)
 
 
 def _check_address(key: str, value: Any) -> None:
-    if not isinstance(value, str) or not _ADDRESS.fullmatch(value):
+    if not isinstance(value, str) or not _ADDRESS_PATTERN.fullmatch(value):
         raise SettingsError(key, "an address IP:PORT", value)
     host, port = value.split(":")
     if any(int(part) > 255 for part in host.split(".")) or int(port) > 65535:
--- a/packages/node/src/ebonyhaven_node/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/_sharing.py
@@ -27,8 +27,8 @@
 class SchedulingDigestExchange:
     """Sends bounded digests to one random instance at a time.
 
-    The cost does not depend on the number of instances: `UsageLedger` extrapolates
-    the usage received from some of them to all.
+    The amount of data sent does not depend on the number of instances:
+    `UsageLedger` extrapolates the usage received from some of them to all.
 
     Parameters
     ----------
--- a/packages/node/src/ebonyhaven_node/_silence.py
+++ b/packages/node/src/ebonyhaven_node/_silence.py
@@ -12,7 +12,8 @@
 from ebonyhaven_node._runs import Run
 
 EXPECTED_PREFILL_TOKENS_PER_S = 4000.0
-# Consecutive probes without a token up to which a responding engine is waited for.
+# A responding engine is waited for until the number of consecutive probes without a
+# new token exceeds these limits.
 MAX_IDLE_PROBES = 2
 MAX_IDLE_PROBES_BEFORE_FIRST_TOKEN = 5
 
--- a/packages/node/src/ebonyhaven_node/_sinks.py
+++ b/packages/node/src/ebonyhaven_node/_sinks.py
@@ -21,12 +21,12 @@
 from ebonyhaven_node._requests import GenerationRequest
 from ebonyhaven_node._runs import Run, Sink
 
-KEEP_ALIVE_TARGET_SHARE = 0.25  # share of the resume target
+KEEP_ALIVE_RESUME_TARGET_SHARE = 0.25
 MAX_TOKENS_PER_WRITE = 256
 
 
 def write_outcome(http_request: Request, outcome: Outcome) -> None:
-    """Send an outcome as the response; no headers must have been written before.
+    """Send an outcome as the response, before any response headers are written.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
     Parameters
     ----------
     http_request : Request
-        The caller's request; no response headers must have been written.
+        The caller's request; its response headers must not have been written yet.
     run : Run
     request : GenerationRequest
         Request of this caller; another request may have started the run.
@@ -78,7 +78,7 @@
         self._offset = request.first_offset
         self._first_submission = request.first_submission
         self._encoder = EventEncoder(run.request.run_id)
-        self._keep_alive_interval_s = KEEP_ALIVE_TARGET_SHARE * resume_target_s
+        self._keep_alive_interval_s = KEEP_ALIVE_RESUME_TARGET_SHARE * resume_target_s
         self._reactor = reactor
         self._metrics = metrics
         self._announced_server = ""
--- a/packages/node/src/ebonyhaven_node/_stream_opener.py
+++ b/packages/node/src/ebonyhaven_node/_stream_opener.py
@@ -28,7 +28,7 @@
 from ebonyhaven_node._silence import SilenceDetector
 from ebonyhaven_node.exceptions import EngineLost, EngineRefusal
 
-ACCEPT_TIMEOUT_TARGET_SHARE = 0.25  # share of the resume target
+ACCEPT_TIMEOUT_RESUME_TARGET_SHARE = 0.25
 MIN_ACCEPT_TIMEOUT_S = 0.25
 START_RETRY_DELAY_S = 0.05
 ATTACH_RETRY_DELAY_S = 0.1
@@ -111,8 +111,10 @@
             except ClaimUnavailable:
                 slot.release()
                 continue
-            ran = self.may_have_run
-            await self._guard.check(OutcomeTag.FAILED if ran else OutcomeTag.NOT_RUN)
+            may_have_run = self.may_have_run
+            await self._guard.check(
+                OutcomeTag.FAILED if may_have_run else OutcomeTag.NOT_RUN
+            )
             self._run.generation = make_generation(self._dependencies.rng)
             excluded.add(slot.server.name)
             if len(excluded) >= len(
@@ -141,7 +143,7 @@
         return True
 
     async def resolve_lost_attempt(self, server: BackendServer) -> bool:
-        """Attach to an attempt that an engine did not respond to.
+        """Attach to an attempt whose start the engine did not confirm.
 
         If the engine still does not respond, the attempt is cancelled in the
         background.
@@ -174,7 +176,7 @@
         If another instance has claimed it, attach to its run and return False.
         """
         try:
-            dispatch = await self._claim.insert(
+            must_dispatch = await self._claim.insert(
                 generation=self._run.generation,
                 server=slot.server.name,
                 deadline=deadline,
@@ -182,13 +184,13 @@
         except RequestFailure:
             slot.release()
             raise
-        if not dispatch:
+        if not must_dispatch:
             slot.release()
             self._run.generation = self._claim.generation
             await self.attach_with_retries(
                 self._dependencies.servers.find(self._claim.server)
             )
-        return dispatch
+        return must_dispatch
 
     async def _acquire_start_slot(
         self, excluded: set[str], deadline: float, *, resume: bool, retry: bool
@@ -388,5 +390,6 @@
     def accept_timeout_s(self) -> float:
         """Time within which an engine must accept a run, seconds."""
         return max(
-            MIN_ACCEPT_TIMEOUT_S, ACCEPT_TIMEOUT_TARGET_SHARE * self._targets.resume_s
+            MIN_ACCEPT_TIMEOUT_S,
+            ACCEPT_TIMEOUT_RESUME_TARGET_SHARE * self._targets.resume_s,
         )
--- a/packages/node/src/ebonyhaven_node/_web.py
+++ b/packages/node/src/ebonyhaven_node/_web.py
@@ -80,14 +80,14 @@
             write_outcome(request, failure.outcome)
             return Deferred()
         ensureDeferred(self._chain(Exchange(http_request=request, body=body)))
-        return Deferred()
+        return Deferred()  # never fires, because the filters finish the request
 
     @app.route("/services/<service>/", defaults={"path": ""})
     @app.route("/services/<service>/<path:path>")
     def call_service(self, request: Request, service: str, path: str) -> object:
         """Relay a call to a plain service."""
         ensureDeferred(self._services.relay(request, service, path))
-        return Deferred()
+        return Deferred()  # never fires, because the relay finishes the request
 
     @app.route("/v1/entries", methods=["GET"])
     def list_entries(self, request: Request) -> bytes:
--- a/packages/node/src/ebonyhaven_node/exceptions.py
+++ b/packages/node/src/ebonyhaven_node/exceptions.py
@@ -26,7 +26,7 @@
 
 
 class EngineRefusal(NodeError):
-    """Raised when an engine proves that it did not run a request.
+    """Raised when it is certain that an engine did not run a request.
 
     Parameters
     ----------
@@ -55,7 +55,7 @@
     step : str
         Step at which the engine was lost.
     closed : bool
-        Whether the connection was closed, rather than silent.
+        Whether the connection was closed; False, for example, after a timeout.
     """
 
     def __init__(self, *, peer: str, step: str, closed: bool = False):
