--- a/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
@@ -59,7 +59,7 @@
         server_id : str
             Id of the process that answered.
         """
-        if not self._source.is_behind() or server_id in self._inspected_ids:
+        if not self._source.is_unresponsive() or server_id in self._inspected_ids:
             return
         if not self._is_only_engine_service(backend.entry.service):
             return
@@ -75,7 +75,7 @@
         To be called periodically.
         """
         now = self._clock()
-        if self._source.is_behind():
+        if self._source.is_unresponsive():
             self._last_behind_at = now
         elif now - self._last_behind_at > CONFIRMATION_TIMEOUT_S:
             self._inspected_ids.clear()
--- a/packages/node/src/ebonyhaven_node/forwarding/_attempt_monitors.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempt_monitors.py
@@ -14,7 +14,7 @@
 )
 
 from ebonyhaven_node.forwarding._attempts import Attempt
-from ebonyhaven_node.forwarding._context import SILENT_SERVER_S, RelayContext
+from ebonyhaven_node.forwarding._context import SERVER_SILENCE_LIMIT_S, RelayContext
 from ebonyhaven_node.forwarding._events import EventSplitter
 from ebonyhaven_node.forwarding._messages import ResponseHead
 from ebonyhaven_node.forwarding._reservations import EngineReservation
@@ -115,7 +115,7 @@
             tokens = self._reservation.prefill_tokens
             # Other prefills of this instance on the engine would distort the rate.
             if tokens and self._attempt.backend.prefill_tokens == tokens:
-                self._context.prefill.record(tokens, now - self.started_at)
+                self._context.prefill_rate.record(tokens, now - self.started_at)
             self._reservation.release_prefill()
         else:
             self.longest_gap_s = max(self.longest_gap_s, now - self.last_received_at)
@@ -162,7 +162,7 @@
         backend = self._attempt.backend
         peers = self._context.peers.sum_by_server(self._context.clock())
         peer_tokens = peers.get(backend.server_id, EngineUse()).prefill_tokens
-        estimate_s = self._context.prefill.estimate_s(
+        estimate_s = self._context.prefill_rate.estimate_s(
             backend.prefill_tokens + peer_tokens
         )
         self._longest_estimate_s = max(self._longest_estimate_s, estimate_s)
@@ -192,9 +192,9 @@
     def is_server_silent(self) -> bool:
         """Return whether the server sent nothing to this instance recently.
 
-        All requests of this instance on the server count, see `SILENT_SERVER_S`.
+        All requests of this instance on the server count, see `SERVER_SILENCE_LIMIT_S`.
         """
         now = self._context.clock()
         backend = self._attempt.backend
         last_received_at = max(backend.last_received_at, self.started_at)
-        return now - last_received_at > SILENT_SERVER_S
+        return now - last_received_at > SERVER_SILENCE_LIMIT_S
--- a/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
@@ -119,12 +119,12 @@
             self._finish()
             self._inbox.put(ResponseCompleted(self))
 
-    def fail(self, reason: str, *, is_reset: bool) -> None:
+    def fail(self, reason: str, *, is_connection_lost: bool) -> None:
         """See `ResponseHandler.fail`."""
         if self.is_finished:
             return
         self._finish()
-        self._inbox.put(AttemptFailed(self, True, is_reset, reason))
+        self._inbox.put(AttemptFailed(self, True, is_connection_lost, reason))
 
     def _send(self, connection: HttpConnection) -> None:
         self._pending = None
--- a/packages/node/src/ebonyhaven_node/forwarding/_context.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_context.py
@@ -32,7 +32,7 @@
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import BackendDialect, RunCopier
 
-SILENT_SERVER_S = 0.2  # a working engine sends data more often than this
+SERVER_SILENCE_LIMIT_S = 0.2  # a working engine sends data more often than this
 CRASH_CONFIRMATION_DELAY_S = 0.5  # shorter than a server restart
 DATA_CENTRE_CHECK_DELAY_S = 0.2  # losses are shared within tens of milliseconds
 PROBE_TIMEOUT_S = 0.15  # a live server accepts within milliseconds
@@ -228,7 +228,7 @@
         if other_server is not None:
             self.on_other_process(backend, other_server)
 
-    def report_death(self, request: ForwardRequest, backend: Backend) -> None:
+    def schedule_crash_check(self, request: ForwardRequest, backend: Backend) -> None:
         """Report that a server was lost before the first event of a stream.
 
         It counts as a crash caused by the content of the request only if the server
--- a/packages/node/src/ebonyhaven_node/forwarding/_filters.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_filters.py
@@ -112,7 +112,7 @@
         if work.exchange.is_started:
             work.exchange.abort()
             return
-        headers, body = self._dialect.describe_outcome(outcome)
+        headers, body = self._dialect.encode_outcome(outcome)
         work.exchange.respond(outcome.status, headers, body)
 
     def _count_request(self, work: RequestContext, outcome: str, step: str) -> None:
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -168,7 +168,7 @@
             read_version=lambda: self.source.read_version()[0],
             count_backends=lambda: sum(1 for _ in self.state.backends),
             count_suspects=self._count_suspects,
-            is_behind=self.source.is_behind,
+            is_unresponsive=self.source.is_unresponsive,
             count_connections=lambda: self.pool.opened_count,
         )
         self._peers = PeerEngineUse(ttl_s=3 * USE_REFRESH_INTERVAL_S)
@@ -338,7 +338,7 @@
             copier=self._copier,
             budget=self._budget,
             peers=self._peers,
-            prefill=PrefillRate(),
+            prefill_rate=PrefillRate(),
             stream_durations={},
             suspicion_notifier=SuspicionNotifier(),
             capacity_notifier=self._capacity_notifier,
@@ -367,7 +367,7 @@
 
     def _schedule_use_update(self) -> None:
         if self._use_exchange is not None:
-            self._use_exchange.schedule_update()
+            self._use_exchange.schedule_report()
 
     def _report_lost_server(self, backend: Backend) -> None:
         if self._use_exchange is not None:
--- a/packages/node/src/ebonyhaven_node/forwarding/_http_client.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_http_client.py
@@ -63,13 +63,13 @@
         """Handle the end of a complete response."""
 
     @abc.abstractmethod
-    def fail(self, reason: str, *, is_reset: bool) -> None:
+    def fail(self, reason: str, *, is_connection_lost: bool) -> None:
         """Handle a failure before the response was complete.
 
         Parameters
         ----------
         reason : str
-        is_reset : bool
+        is_connection_lost : bool
             True if the connection ended, False if the response is malformed.
         """
 
@@ -197,7 +197,9 @@
         if self._handler is not None and is_clean:
             self._decode(b"")
         if self._handler is not None:
-            self._fail(f"connection ended: {reason.getErrorMessage()}", is_reset=True)
+            self._fail(
+                f"connection ended: {reason.getErrorMessage()}", is_connection_lost=True
+            )
         self._on_lost(self)
 
     def _encode(self) -> bytes:
@@ -225,7 +227,7 @@
                     return
                 self._handle_event(event)
         except h11.RemoteProtocolError as error:
-            self._fail(f"malformed answer: {error}", is_reset=not data)
+            self._fail(f"malformed answer: {error}", is_connection_lost=not data)
 
     def _handle_event(self, event: object) -> None:
         if isinstance(event, h11.Response):
@@ -236,7 +238,7 @@
         elif isinstance(event, h11.EndOfMessage):
             self._complete_response()
         elif isinstance(event, h11.ConnectionClosed):
-            self._fail("connection closed before the answer", is_reset=True)
+            self._fail("connection closed before the answer", is_connection_lost=True)
 
     def _handle_head(self, event: h11.Response) -> None:
         headers = tuple((bytes(name), bytes(value)) for name, value in event.headers)
@@ -272,11 +274,11 @@
         if is_closed:
             self._codec.receive_data(b"")
 
-    def _fail(self, reason: str, *, is_reset: bool) -> None:
+    def _fail(self, reason: str, *, is_connection_lost: bool) -> None:
         handler, self._handler = self._handler, None
         self.abort()
         if handler is not None:
-            handler.fail(reason, is_reset=is_reset)
+            handler.fail(reason, is_connection_lost=is_connection_lost)
 
 
 def _make_codec() -> h11.Connection:
--- a/packages/node/src/ebonyhaven_node/forwarding/_messages.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_messages.py
@@ -216,14 +216,14 @@
     attempt : Attempt
     was_sent : bool
         Whether the server may have run the request.
-    is_reset : bool
+    is_connection_lost : bool
         True if the connection ended, False if the response is malformed.
     reason : str
     """
 
     attempt: Attempt
     was_sent: bool
-    is_reset: bool
+    is_connection_lost: bool
     reason: str
 
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_metrics.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_metrics.py
@@ -84,7 +84,7 @@
         read_version: Callable[[], int],
         count_backends: Callable[[], int],
         count_suspects: Callable[[], int],
-        is_behind: Callable[[], bool],
+        is_unresponsive: Callable[[], bool],
         count_connections: Callable[[], int],
     ) -> None:
         """Register gauges of the instance's state, read at each scrape.
@@ -96,7 +96,7 @@
         count_backends, count_suspects : callable
             Return the number of listed servers, and of those excluded from new
             requests.
-        is_behind : callable
+        is_unresponsive : callable
             Returns whether the store is unresponsive.
         count_connections : callable
             Returns the number of connections to servers opened since startup.
@@ -105,7 +105,7 @@
             ("configuration_version", "Configuration in force.", read_version),
             ("backends", "Backend servers on the list.", count_backends),
             ("backends_suspect", "Servers that get no new work.", count_suspects),
-            ("store_behind", "Whether the store does not answer.", is_behind),
+            ("store_behind", "Whether the store does not answer.", is_unresponsive),
             ("connections_opened", "Connections to servers.", count_connections),
         )
         for name, help_text, read in gauges:
--- a/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
@@ -172,7 +172,7 @@
             self._pending_request.cancel()
         if self._handle is not None and not is_needed:
             drop = ensureDeferred(
-                self._context.copier.drop_copy(
+                self._context.copier.delete_copy(
                     source=self._source.entry.address, handle=self._handle
                 )
             )
--- a/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
@@ -21,7 +21,7 @@
 from ebonyhaven_node._digests import Digest
 from ebonyhaven_node._frames import Frame, FrameKind
 from ebonyhaven_node._membership import MembershipController
-from ebonyhaven_node.forwarding._context import SILENT_SERVER_S
+from ebonyhaven_node.forwarding._context import SERVER_SILENCE_LIMIT_S
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import StateSource
 
@@ -82,7 +82,7 @@
         self._has_sent_use = False
         channels.subscribe(FrameKind.ENGINE_USE, self._receive)
 
-    def schedule_update(self) -> None:
+    def schedule_report(self) -> None:
         """Schedule a report within `SEND_DELAY_S`."""
         if self._timer is None or not self._timer.active():
             self._timer = self._reactor.callLater(SEND_DELAY_S, self._send)
@@ -97,7 +97,7 @@
         backend : Backend
         """
         self._lost.add(backend.server_id)
-        self.schedule_update()
+        self.schedule_report()
 
     def stop(self) -> None:
         """Cancel scheduled reports."""
@@ -146,7 +146,7 @@
         backend = self._state.backends.find(server_id)
         if backend is None:
             return
-        if time.monotonic() - backend.last_received_at > SILENT_SERVER_S:
+        if time.monotonic() - backend.last_received_at > SERVER_SILENCE_LIMIT_S:
             self._on_loss(backend)
 
 
@@ -215,7 +215,7 @@
         self._update_readiness(sender, versions)
         is_newer = versions[0] > own[0] or versions[1] > own[1]
         now = self._clock()
-        if not is_newer or not self._source.is_behind():
+        if not is_newer or not self._source.is_unresponsive():
             return
         if now - self._requested_at < STATE_REQUEST_INTERVAL_S:
             return
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
@@ -9,7 +9,7 @@
 
 from ebonyhaven_node.forwarding._attempt_monitors import AttemptMonitor
 from ebonyhaven_node.forwarding._attempts import Attempt
-from ebonyhaven_node.forwarding._context import SILENT_SERVER_S, RelayContext
+from ebonyhaven_node.forwarding._context import SERVER_SILENCE_LIMIT_S, RelayContext
 from ebonyhaven_node.forwarding._http_server import Exchange
 from ebonyhaven_node.forwarding._inbox import Inbox
 from ebonyhaven_node.forwarding._messages import (
@@ -181,7 +181,7 @@
         if now < self._deadline and silent_s < limits.resume_after_s:
             self._probe()
             return None
-        is_server_silent = now - self._backend.last_received_at > SILENT_SERVER_S
+        is_server_silent = now - self._backend.last_received_at > SERVER_SILENCE_LIMIT_S
         if is_server_silent and self._monitor.events:
             self._context.report_unreachable(self._backend)
         end = AttemptEnd.SILENT if self._attempt.was_sent else AttemptEnd.UNREACHABLE
@@ -244,5 +244,6 @@
     if not message.was_sent:
         return AttemptResult(AttemptEnd.UNREACHABLE, message.reason)
     return AttemptResult(
-        AttemptEnd.LOST if message.is_reset else AttemptEnd.ERROR, message.reason
+        AttemptEnd.LOST if message.is_connection_lost else AttemptEnd.ERROR,
+        message.reason,
     )
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
@@ -116,7 +116,9 @@
         tokens = count_queued_prefill_tokens(backend, peers)
         if not tokens:
             return 0.0
-        return self._context.prefill.estimate_s(tokens + self._demand.prompt_tokens)
+        return self._context.prefill_rate.estimate_s(
+            tokens + self._demand.prompt_tokens
+        )
 
     def choose_holder(self, source: Backend, now: float) -> Backend | None:
         """Return the server for the copy of a run.
--- a/packages/node/src/ebonyhaven_node/forwarding/_streams.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_streams.py
@@ -311,7 +311,7 @@
             if monitor.events:  # engines create copies only after the first event
                 self._run_copy = copy
             elif result.end is AttemptEnd.LOST:
-                self._context.report_death(self._request, attempt.backend)
+                self._context.schedule_crash_check(self._request, attempt.backend)
             return result
         finally:
             copy.close(
@@ -363,7 +363,7 @@
         self._context.metrics.attempts.labels(self._route.kind.value, end.value).inc()
         self._last_reason = result.reason
         self._last_peer = backend.server_id
-        self._failed_answer = result.failure or self._failed_answer
+        self._failed_answer = result.error_response or self._failed_answer
         self._log_attempt_ended(target, result, now)
         if target.copy is not None and end is AttemptEnd.NOT_RUN:
             self._context.metrics.resumes.labels("copy_gone").inc()
--- a/packages/node/src/ebonyhaven_node/forwarding/interfaces.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/interfaces.py
@@ -38,7 +38,7 @@
         """
 
     @abc.abstractmethod
-    def describe_outcome(self, outcome: Outcome) -> tuple[Headers, bytes]:
+    def encode_outcome(self, outcome: Outcome) -> tuple[Headers, bytes]:
         """Return headers and body of an answer that this instance generates itself.
 
         Parameters
@@ -87,12 +87,12 @@
         """
 
     @abc.abstractmethod
-    def read_event_id(self, block: bytes) -> str | None:
+    def read_event_id(self, event: bytes) -> str | None:
         """Return the id of one event of a stream.
 
         Parameters
         ----------
-        block : bytes
+        event : bytes
             The complete event.
 
         Returns
@@ -156,7 +156,7 @@
         """
 
     @abc.abstractmethod
-    async def drop_copy(self, *, source: str, handle: str) -> None:
+    async def delete_copy(self, *, source: str, handle: str) -> None:
         """Release a copy that is no longer needed.
 
         Parameters
@@ -188,7 +188,7 @@
         """Return the versions of configuration and server list, 0 for none."""
 
     @abc.abstractmethod
-    def is_behind(self) -> bool:
+    def is_unresponsive(self) -> bool:
         """Return whether the source has not answered for a while."""
 
     @abc.abstractmethod
--- a/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
@@ -45,8 +45,8 @@
             arrived_at=exchange.arrived_at,
         )
 
-    def describe_outcome(self, outcome: Outcome) -> tuple[Headers, bytes]:
-        """See `CallerDialect.describe_outcome`."""
+    def encode_outcome(self, outcome: Outcome) -> tuple[Headers, bytes]:
+        """See `CallerDialect.encode_outcome`."""
         return (), outcome.reason.encode()
 
 
@@ -87,6 +87,6 @@
             load=None,
         )
 
-    def read_event_id(self, block: bytes) -> str | None:
+    def read_event_id(self, event: bytes) -> str | None:
         """See `BackendDialect.read_event_id`."""
-        return block.partition(b"\n")[0].removeprefix(b"id: ").decode()
+        return event.partition(b"\n")[0].removeprefix(b"id: ").decode()
--- a/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
@@ -268,8 +268,8 @@
         source_engine, target_engine = self.by_address[source], self.by_address[target]
         return request_id if source_engine.copy_run(request_id, target_engine) else None
 
-    async def drop_copy(self, *, source: str, handle: str) -> None:
-        """See `RunCopier.drop_copy`."""
+    async def delete_copy(self, *, source: str, handle: str) -> None:
+        """See `RunCopier.delete_copy`."""
         for engine in self.engines:
             engine.copies.pop(handle, None)
 
--- a/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
@@ -122,8 +122,8 @@
         """See `StateSource.read_version`."""
         return (1, 1)
 
-    def is_behind(self) -> bool:
-        """See `StateSource.is_behind`."""
+    def is_unresponsive(self) -> bool:
+        """See `StateSource.is_unresponsive`."""
         return False
 
     def export(self) -> object:
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -56,7 +56,7 @@
     def read_version(self) -> tuple[int, int]:
         return self.versions
 
-    def is_behind(self) -> bool:
+    def is_unresponsive(self) -> bool:
         return self.behind
 
     def export(self) -> object:
@@ -90,7 +90,7 @@
         self.requested.append((source, request_id, target))
         return self.handle
 
-    async def drop_copy(self, *, source, handle):
+    async def delete_copy(self, *, source, handle):
         self.dropped.append((source, handle))
 
 
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_sharing.py
@@ -74,7 +74,7 @@
     harness, sharing, membership, _, clock, _, _, budget = build_use_sharing("n2", "n3")
     engine = harness.state.backends.find("e-0")
     engine.run_tokens, engine.prefill_tokens = 8700, 8000
-    sharing.schedule_update()
+    sharing.schedule_report()
     sharing.report_lost_server(harness.state.backends.find("e-1"))
     clock.advance(0.02)
     payload = [{"e-0": [8700, 0, 8000]}, ["e-1"]]
@@ -89,12 +89,12 @@
     harness, sharing, membership, _, clock, _, _, _ = build_use_sharing("n2")
     engine = harness.state.backends.find("e-0")
     engine.run_tokens = 5
-    sharing.schedule_update()
+    sharing.schedule_report()
     clock.advance(0.02)
     clock.advance(1.1)
     assert len(membership.sent) == 2
     engine.run_tokens = 0
-    sharing.schedule_update()
+    sharing.schedule_report()
     clock.advance(0.02)
     assert membership.sent[-1][2] == [{}, []]
     clock.pump([1.0] * 5)
--- a/tests/platform_adapter/test_source.py
+++ b/tests/platform_adapter/test_source.py
@@ -124,9 +124,9 @@
 
 def test_store_failure_keeps_the_state_and_is_retried_after_a_delay():
     clock, store, state, source = start_with_complete_state()
-    assert not source.is_behind()
+    assert not source.is_unresponsive()
     store.push("op", make_store_error())
-    assert source.is_behind()
+    assert source.is_unresponsive()
     calls = len(store.calls)
     clock.advance(0.2)
     assert len(store.calls) == calls
@@ -134,7 +134,7 @@
     assert len(store.calls) == calls + 1
     assert state.is_complete
     store.push("op", make_rows(11))
-    assert not source.is_behind()
+    assert not source.is_unresponsive()
 
 
 def test_older_configuration_is_never_applied():
