--- a/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
@@ -11,18 +11,19 @@
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import ServerInspector, StateSource
 
-CONFIRMATION_TIMEOUT_S = 2.5  # entries expired in an outage return within 2 s
+# Servers publish entries that expired in an outage again within 2 s.
+CONFIRMATION_TIMEOUT_S = 2.5
 
 _log = structlog.get_logger()
 
 
 class EngineAdopter:
-    """Adopts restarted engines while the server list cannot be read.
+    """Adds restarted engines to the backend servers while the list cannot be read.
 
     A restarted engine has a new id, which is normally read from the list. While the
     list is unavailable, a process that answers at a known address with another id is
-    inspected. It is adopted only if exactly one service has engines, as it could
-    belong to another service otherwise. It is removed if the list, once readable
+    inspected. It is added ("adopted") only if exactly one service has engines, as it
+    could belong to another service otherwise. It is removed if the list, once readable
     again, does not contain it.
 
     Parameters
@@ -47,7 +48,7 @@
         self._inspector = inspector
         self._clock = clock
         self._inspected_ids: set[str] = set()
-        self._last_behind_at = clock()
+        self._last_unresponsive_at = clock()
 
     def inspect_replacement(self, backend: Backend, server_id: str) -> None:
         """Inspect the process that answered at the address of a known server.
@@ -76,8 +77,8 @@
         """
         now = self._clock()
         if self._source.is_unresponsive():
-            self._last_behind_at = now
-        elif now - self._last_behind_at > CONFIRMATION_TIMEOUT_S:
+            self._last_unresponsive_at = now
+        elif now - self._last_unresponsive_at > CONFIRMATION_TIMEOUT_S:
             self._inspected_ids.clear()
             self._state.remove_adopted_backends()
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_attempt_monitors.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempt_monitors.py
@@ -1,4 +1,4 @@
-"""Monitoring of the progress and the silence of attempts at streams."""
+"""Monitoring of the progress and the silence of stream attempts."""
 
 from __future__ import annotations
 
@@ -36,8 +36,10 @@
         None until the head arrived.
     events : int
         Events received in this attempt.
-    started_at, first_event_at, last_received_at, probed_at : float
-        Seconds.
+    started_at, first_event_at, last_received_at : float
+        Times of the start, the first event and the last data received, seconds.
+    probed_at : float
+        Time of the last probe of the server, seconds; minus infinity before the first.
     longest_gap_s : float
         Longest gap between two events of this attempt.
     splitter : EventSplitter
@@ -94,7 +96,10 @@
         self.last_received_at = self._context.clock()
 
     def is_event_stream(self) -> bool:
-        """Return whether the response is a stream with proof of its origin."""
+        """Return whether the response is treated as an event stream.
+
+        It has status 200, proof of its origin and a request id.
+        """
         head = self.head
         return (
             head.status == 200 and head.has_origin_proof and head.request_id is not None
--- a/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_attempts.py
@@ -46,8 +46,8 @@
     is_finished : bool
         Whether the attempt completed, failed or was cancelled.
     sent_at : float
-        Time at which the request was sent; start of the connection attempt until
-        then. Seconds.
+        Time at which the request was sent, seconds. Until then, time at which the
+        attempt started.
     """
 
     def __init__(
--- a/packages/node/src/ebonyhaven_node/forwarding/_context.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_context.py
@@ -32,9 +32,9 @@
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import BackendDialect, RunCopier
 
-SERVER_SILENCE_LIMIT_S = 0.2  # a working engine sends data more often than this
+SERVER_SILENCE_LIMIT_S = 0.2  # working engines send data at shorter intervals
 CRASH_CONFIRMATION_DELAY_S = 0.5  # shorter than a server restart
-DATA_CENTRE_CHECK_DELAY_S = 0.2  # losses are shared within tens of milliseconds
+DATA_CENTRE_CHECK_DELAY_S = 0.2  # peers report losses within tens of milliseconds
 PROBE_TIMEOUT_S = 0.15  # a live server accepts within milliseconds
 
 _log = structlog.get_logger()
@@ -128,7 +128,7 @@
     budget : ServiceRetryBudget
     peers : PeerEngineUse
         Engine usage reported by the other instances.
-    prefill : PrefillRate
+    prefill_rate : PrefillRate
     stream_durations : dict of str to StreamDurations
         By route name; bounded by the number of stream routes.
     suspicion_notifier : SuspicionNotifier
@@ -156,7 +156,7 @@
     copier: RunCopier
     budget: ServiceRetryBudget
     peers: PeerEngineUse
-    prefill: PrefillRate
+    prefill_rate: PrefillRate
     stream_durations: dict[str, StreamDurations]
     suspicion_notifier: SuspicionNotifier
     capacity_notifier: CapacityNotifier
@@ -187,7 +187,7 @@
     def report_unreachable(
         self, backend: Backend, *, is_from_peer: bool = False
     ) -> None:
-        """Suspect a server and notify all streams.
+        """Suspect a server, close its idle connections and notify all streams.
 
         Parameters
         ----------
@@ -229,11 +229,11 @@
             self.on_other_process(backend, other_server)
 
     def schedule_crash_check(self, request: ForwardRequest, backend: Backend) -> None:
-        """Report that a server was lost before the first event of a stream.
+        """Check later whether a server lost before the first event has crashed.
 
-        It counts as a crash caused by the content of the request only if the server
-        is still unreachable after `CRASH_CONFIRMATION_DELAY_S` and no other server
-        of its data centre is suspect.
+        The loss counts as a crash caused by the content of the request only if the
+        server is still unreachable after `CRASH_CONFIRMATION_DELAY_S` and no other
+        server of its data centre is suspect.
 
         Parameters
         ----------
--- a/packages/node/src/ebonyhaven_node/forwarding/_earlier_runs.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_earlier_runs.py
@@ -1,4 +1,4 @@
-"""Earlier runs of callers that retry after the loss of their instance."""
+"""Copies of earlier runs, for callers that retry after the loss of their instance."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EarlierRun:
-    """The copy of the run that a caller's retry continues, until it was used.
+    """Earlier run that a caller's retry continues from its copy, at most once.
 
     Parameters
     ----------
@@ -33,7 +33,10 @@
         return self._location is not None
 
     async def find_copy(self) -> None:
-        """Look up the copy if the caller already received events of the stream."""
+        """Look up the copy if the caller already received events of the stream.
+
+        Such a retry is counted and logged as a resume, with or without a copy.
+        """
         run_key = self._request.run_key
         if self._request.last_event_id is None or run_key is None:
             return
@@ -51,7 +54,7 @@
         )
 
     def take_copy(self, now: float) -> tuple[Backend, CopyReference] | None:
-        """Return the holder and the copy if usable; at most once.
+        """Return the holder and the copy if it is usable, and clear the known copy.
 
         Parameters
         ----------
--- a/packages/node/src/ebonyhaven_node/forwarding/_events.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_events.py
@@ -1,4 +1,4 @@
-"""Splitting of an event stream into complete events, byte for byte."""
+"""Splitting of an event stream into complete events, without changing its bytes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         Raises
         ------
         ValueError
-            If an event exceeds `MAX_EVENT_BYTES`.
+            If the incomplete event exceeds `MAX_EVENT_BYTES`.
         """
         text = self._buffer + data
         events = []
--- a/packages/node/src/ebonyhaven_node/forwarding/_http_client.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_http_client.py
@@ -21,11 +21,13 @@
 
 from ebonyhaven_node.forwarding._messages import Headers
 
-KEEPALIVE_INTERVAL_S = 1  # minimum of TCP_KEEPIDLE and TCP_KEEPINTVL
+KEEPALIVE_INTERVAL_S = 1  # lowest value of TCP_KEEPIDLE and of TCP_KEEPINTVL
 KEEPALIVE_PROBES = 1
-UNACKNOWLEDGED_TIMEOUT_MS = 1500  # TCP_USER_TIMEOUT: closes with unacknowledged data
+# TCP_USER_TIMEOUT: the kernel closes a connection whose data is not acknowledged.
+UNACKNOWLEDGED_TIMEOUT_MS = 1500
 MAX_HEAD_BYTES = 64 * 1024
-# Closer to the server's timeout, a request could cross the server's close.
+# With a smaller margin, the server could close the connection while a request is in
+# transit.
 IDLE_TIMEOUT_MARGIN_S = 0.7
 # Servers without a Keep-Alive timeout close idle connections in less than a second.
 DEFAULT_IDLE_TIMEOUT_S = 0.3
@@ -174,7 +176,7 @@
         self.idle_since = now
 
     def is_reusable(self, now: float) -> bool:
-        """Return whether the server cannot have timed out the idle connection yet.
+        """Return whether the connection is open and not near the server's idle timeout.
 
         Parameters
         ----------
@@ -191,7 +193,10 @@
         self._decode(data)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802 Twisted API
-        """Fail the pending request and report the loss of the connection."""
+        """Complete or fail the pending response and report the loss of the connection.
+
+        Only a clean close can complete it: it ends a body without framing.
+        """
         self.is_closed = True
         is_clean = reason.check(ConnectionDone) is not None
         if self._handler is not None and is_clean:
@@ -242,7 +247,7 @@
 
     def _handle_head(self, event: h11.Response) -> None:
         headers = tuple((bytes(name), bytes(value)) for name, value in event.headers)
-        self._idle_timeout_s = _parse_idle_timeout(headers)
+        self._idle_timeout_s = _parse_idle_timeout_s(headers)
         if not self._handler.accept_head(event.status_code, headers):
             self._is_skipping = True
 
@@ -267,7 +272,7 @@
         """Restart decoding after a response that belonged to an earlier request."""
         trailing, is_closed = self._codec.trailing_data
         self._codec = _make_codec()
-        self._encode()
+        self._encode()  # sets the state of the codec; the request was already sent
         self._is_skipping = False
         if trailing:
             self._codec.receive_data(trailing)
@@ -285,7 +290,7 @@
     return h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
 
-def _parse_idle_timeout(headers: Headers) -> float:
+def _parse_idle_timeout_s(headers: Headers) -> float:
     """Return the seconds for which an idle connection may be reused."""
     for name, value in headers:
         if name == b"keep-alive" and b"timeout=" in value.lower():
--- a/packages/node/src/ebonyhaven_node/forwarding/_http_server.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_http_server.py
@@ -39,7 +39,7 @@
     is_started : bool
         Whether the head of the response has been sent.
     is_done : bool
-        Whether the response is complete, was aborted or lost its caller.
+        Whether the response is complete or aborted, or the caller disconnected.
     on_disconnect : callable or None
         Called if the caller disconnects before the response is complete.
     """
@@ -111,7 +111,7 @@
             self._connection.write_data(data)
 
     def finish(self) -> None:
-        """End a streamed response as complete."""
+        """Complete a streamed response."""
         if self.is_done:
             return
         self.is_done = True
@@ -209,7 +209,7 @@
         self._write(h11.Data(data=data))
 
     def finish(self) -> None:
-        """End the response and prepare for the next request."""
+        """Complete the response and read the next request, or close the connection."""
         self._write(h11.EndOfMessage())
         self._exchange = None
         self._head = None
--- a/packages/node/src/ebonyhaven_node/forwarding/_progress.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_progress.py
@@ -1,4 +1,4 @@
-"""Progress of a stream towards its caller."""
+"""Delivery of the events of a stream to its caller."""
 
 from __future__ import annotations
 
@@ -35,7 +35,8 @@
     is_complete : bool
         Whether the complete stream was delivered.
     resume_source : str or None
-        What a resumed stream continues from, until its next event; None otherwise.
+        ``copy`` or ``prompt`` from a resume until the next event is delivered, else
+        None.
     """
 
     def __init__(
@@ -175,7 +176,10 @@
 
 
 def _is_after(event_id: str, position: str) -> bool:
-    """Return whether an event id follows another; numeric ids compare as numbers."""
+    """Return whether an event id is later than the position.
+
+    Ids that are not both numeric have no order: any id that differs is later.
+    """
     if event_id.isdigit() and position.isdigit():
         return int(event_id) > int(position)
     return event_id != position
--- a/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_run_copies.py
@@ -29,7 +29,7 @@
 from ebonyhaven_node.forwarding._stream_servers import StreamServerSelector
 
 COPY_RETRY_INTERVAL_S = 0.5  # short compared to the duration of a run
-COPY_REFRESH_SHARE = 0.4  # of the time to live of a copy
+COPY_REFRESH_TTL_SHARE = 0.4  # of the time to live of a copy, between refreshes
 
 _log = structlog.get_logger()
 
@@ -136,7 +136,7 @@
             self._request_copy(self.holder, now)
 
     def _refresh_interval_s(self) -> float:
-        return COPY_REFRESH_SHARE * self._engine.copy_ttl_s
+        return COPY_REFRESH_TTL_SHARE * self._engine.copy_ttl_s
 
     def handle_message(self, message: object) -> None:
         """Update the availability of the copy from a message.
@@ -148,7 +148,7 @@
         """
         match message:
             case CopyRequestCompleted(holder, handle):
-                self._handle_answer(holder, handle)
+                self._handle_copy_result(holder, handle)
             case BackendSuspected() if self._is_available:
                 self._handle_suspicion(message)
             case BackendProbed(server_key, False):
@@ -156,7 +156,7 @@
                     self._record_loss("holder accepts no connection")
 
     def close(self, *, is_needed: bool, is_complete: bool) -> None:
-        """Stop maintaining the copy and drop it if it is not needed.
+        """Stop maintaining the copy and delete it if it is not needed.
 
         Parameters
         ----------
@@ -165,18 +165,18 @@
         is_complete : bool
             Whether the caller received the complete stream and will not retry it.
         """
-        is_dropped = self._handle is not None and not is_needed
-        if self._run_key is not None and (is_complete or is_dropped):
+        is_deleted = self._handle is not None and not is_needed
+        if self._run_key is not None and (is_complete or is_deleted):
             self._context.copy_index.remove(self._run_key)
         if self._pending_request is not None:
             self._pending_request.cancel()
         if self._handle is not None and not is_needed:
-            drop = ensureDeferred(
+            deletion = ensureDeferred(
                 self._context.copier.delete_copy(
                     source=self._source.entry.address, handle=self._handle
                 )
             )
-            drop.addErrback(self._log_drop_failure)
+            deletion.addErrback(self._log_deletion_failure)
 
     def _locate(self) -> RunCopyLocation:
         address, handle = self.reference
@@ -189,8 +189,8 @@
             self._published_location = location
             self._context.copy_index.publish(self._run_key, location)
 
-    def _log_drop_failure(self, failure) -> None:
-        """Log that dropping a copy failed; it expires after its time to live."""
+    def _log_deletion_failure(self, failure) -> None:
+        """Log that deleting a copy failed; it expires after its time to live."""
         _log.info("run_copy_kept", request=self._request_id, error=str(failure.value))
 
     def _handle_suspicion(self, suspicion: BackendSuspected) -> None:
@@ -243,7 +243,7 @@
         _log.error("run_copy_failed", request=self._request_id, error=str(failure))
         self._inbox.put(CopyRequestCompleted(holder, None))
 
-    def _handle_answer(self, holder: Backend, handle: str | None) -> None:
+    def _handle_copy_result(self, holder: Backend, handle: str | None) -> None:
         self._pending_request = None
         if holder is not self.holder:
             return
--- a/packages/node/src/ebonyhaven_node/forwarding/_shared_copy_index.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_shared_copy_index.py
@@ -1,4 +1,4 @@
-"""Index of the copies of runs that survives the loss of an instance."""
+"""Index of run copies, replicated so that it survives the loss of an instance."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 
 class SharedCopyIndex:
-    """Copies of runs, with each entry replicated to several instances.
+    """Locations of run copies, with each entry replicated to several instances.
 
-    Only the entries of this instance are available until it is connected.
+    Until `connect` is called, only the entries of this instance are available.
 
     Parameters
     ----------
--- a/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_sharing.py
@@ -27,8 +27,8 @@
 
 SEND_DELAY_S = 0.01  # batches changes that occur together
 USE_REFRESH_INTERVAL_S = 1.0  # a report expires after three intervals
-MAX_RECEIVERS = 16  # per report; bounds the traffic in a large deployment
-STATE_REQUEST_INTERVAL_S = 0.4  # minimum time between requests to any peers
+MAX_REPORT_RECEIVERS = 16  # bounds the traffic in a large deployment
+STATE_REQUEST_INTERVAL_S = 0.4  # between any two requests, whichever the peers
 
 _log = structlog.get_logger()
 
@@ -51,7 +51,7 @@
     reactor : IReactorTime
     rng : random.Random
     on_peer_use : callable
-        Called after each report of a peer.
+        Called after each valid report of a peer, also if no use changed.
     on_loss : callable
         Called with each server that a peer reports as lost.
     """
@@ -119,7 +119,7 @@
         }
         lost, self._lost = sorted(self._lost), set()
         if uses or lost or self._has_sent_use:
-            chosen = self._rng.sample(peers, min(MAX_RECEIVERS, len(peers)))
+            chosen = self._rng.sample(peers, min(MAX_REPORT_RECEIVERS, len(peers)))
             for name in chosen:
                 self._membership.send(name, FrameKind.ENGINE_USE, [uses, lost])
         self._has_sent_use = bool(uses)
@@ -142,7 +142,7 @@
         self._on_peer_use()
 
     def _handle_lost_server(self, server_id: str) -> None:
-        """Pass on a report of a loss unless the server sent data here recently."""
+        """Call `on_loss` unless the server recently sent data to this instance."""
         backend = self._state.backends.find(server_id)
         if backend is None:
             return
@@ -157,7 +157,8 @@
     ----------
     source : StateSource
     on_versions : callable
-        Called with the name of a peer and its versions.
+        Called with the name of a peer and its versions of configuration and server
+        list.
     """
 
     code = "v"
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_attempts.py
@@ -61,13 +61,13 @@
     ----------
     end : AttemptEnd
     reason : str
-    failure : tuple of (ResponseHead, bytes) or None
-        Error response of the server, if it may be forwarded to the caller.
+    error_response : tuple of (ResponseHead, bytes) or None
+        Head and body from the server, if they may be forwarded to the caller.
     """
 
     end: AttemptEnd
     reason: str
-    failure: tuple[ResponseHead, bytes] | None = None
+    error_response: tuple[ResponseHead, bytes] | None = None
 
 
 class StreamAttempt:
@@ -123,7 +123,7 @@
             wait_s = self._monitor.compute_wait_s(limits, now)
             message = await self._inbox.get(min(wait_s, self._deadline - now))
             if self._exchange.is_done:
-                return AttemptResult(AttemptEnd.DONE, "the caller left")
+                return AttemptResult(AttemptEnd.DONE, "the caller disconnected")
             self._run_copy.handle_message(message)
             result = self._handle_message(message, limits)
             if result is not None:
@@ -132,7 +132,10 @@
     def _handle_message(
         self, message: object, limits: SilenceLimits
     ) -> AttemptResult | None:
-        """Handle a message, or None for a timeout; return the result at the end."""
+        """Handle a message, or None for a timeout.
+
+        Returns a result if the attempt ended.
+        """
         result = None
         match message:
             case None:
@@ -146,7 +149,7 @@
             case ResponseData(sender, data) if sender is self._attempt:
                 result = self._handle_data(data)
             case ResponseCompleted(sender) if sender is self._attempt:
-                result = self._handle_end()
+                result = self._handle_completion()
             case AttemptFailed(sender) if sender is self._attempt:
                 result = _make_failure_result(message)
         return result
@@ -215,20 +218,20 @@
         self._progress.deliver(new_events, self._monitor.head, now)
         return None
 
-    def _handle_end(self) -> AttemptResult:
+    def _handle_completion(self) -> AttemptResult:
         head = self._monitor.head
         if head.not_run:
             return AttemptResult(
                 AttemptEnd.NOT_RUN, f"server refused with {head.status}"
             )
         if not self._monitor.is_event_stream():
-            return self._handle_error(head)
+            return self._handle_error_response(head)
         self._progress.finish(head, self._monitor.splitter.take_remainder())
         if self._attempt.plan.last_event_id is None:
             self._monitor.record_stream_completed()
         return AttemptResult(AttemptEnd.DONE, "complete")
 
-    def _handle_error(self, head: ResponseHead) -> AttemptResult:
+    def _handle_error_response(self, head: ResponseHead) -> AttemptResult:
         body = b"".join(self._monitor.error_body)
         reason = f"server answered with {head.status}"
         may_forward = head.has_origin_proof and head.status not in NOT_RUN_STATUSES
--- a/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_stream_servers.py
@@ -18,8 +18,8 @@
 
 from ebonyhaven_node.forwarding._context import RelayContext
 
-AVOID_S = 2.0  # after an attempt failed on a server
-MIN_CONNECTIONS_PER_SERVER = 2.0  # however many instances share the service's limit
+FAILED_SERVER_AVOIDANCE_S = 2.0
+MIN_CONNECTIONS_PER_SERVER = 2.0  # even if many instances share the limit
 
 
 class StreamServerSelector:
@@ -49,7 +49,9 @@
         self._avoided_until: dict[tuple[str, int], float] = {}
 
     def avoid(self, backend: Backend, now: float) -> None:
-        """Select a server for `AVOID_S` only if no other one is usable.
+        """Avoid a server after a failed attempt, unless no other server is usable.
+
+        It is avoided for `FAILED_SERVER_AVOIDANCE_S`.
 
         Parameters
         ----------
@@ -57,7 +59,7 @@
         now : float
             Seconds.
         """
-        self._avoided_until[backend.key] = now + AVOID_S
+        self._avoided_until[backend.key] = now + FAILED_SERVER_AVOIDANCE_S
 
     def choose(
         self, prompt_id: str, now: float, *, waited_s: float, target_s: float
@@ -67,7 +69,7 @@
         Parameters
         ----------
         prompt_id : str
-            Identifies the part of the prompt that is unique to the request.
+            Identifies the section of the prompt that is unique to the request.
         now : float
             Seconds.
         waited_s, target_s : float
--- a/packages/node/src/ebonyhaven_node/forwarding/interfaces.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/interfaces.py
@@ -39,7 +39,7 @@
 
     @abc.abstractmethod
     def encode_outcome(self, outcome: Outcome) -> tuple[Headers, bytes]:
-        """Return headers and body of an answer that this instance generates itself.
+        """Encode an outcome as headers and body of a response to its caller.
 
         Parameters
         ----------
@@ -74,7 +74,7 @@
 
     @abc.abstractmethod
     def read_head(self, status: int, headers: Headers) -> ResponseHead:
-        """Decode the head of an answer.
+        """Decode the head of a response.
 
         Parameters
         ----------
@@ -130,7 +130,7 @@
         Returns
         -------
         InspectedServer or None
-            None if there was no valid answer.
+            None if there was no valid response.
         """
 
 
@@ -152,12 +152,12 @@
         Returns
         -------
         str or None
-            Handle of the copy, None if there is none.
+            Handle of the copy; None if copying failed.
         """
 
     @abc.abstractmethod
     async def delete_copy(self, *, source: str, handle: str) -> None:
-        """Release a copy that is no longer needed.
+        """Delete a copy that is no longer needed.
 
         Parameters
         ----------
@@ -177,11 +177,11 @@
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Start following the source."""
+        """Start reading the source and its changes."""
 
     @abc.abstractmethod
     def stop(self) -> None:
-        """Stop following the source."""
+        """Stop reading the source."""
 
     @abc.abstractmethod
     def read_version(self) -> tuple[int, int]:
@@ -189,7 +189,7 @@
 
     @abc.abstractmethod
     def is_unresponsive(self) -> bool:
-        """Return whether the source has not answered for a while."""
+        """Return whether reads of the source fail or time out."""
 
     @abc.abstractmethod
     def export(self) -> object:
