--- a/packages/decisions/src/ebonyhaven_decisions/_dispatching.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_dispatching.py
@@ -71,7 +71,7 @@
         "_freed_slots",
         "_enforces_limits",
         "_reservations",
-        "_slots",
+        "_slot_counts",
         "change_count",
         "in_flight_requests",
         "ledger",
@@ -99,7 +99,7 @@
         self._enforces_limits = enforces_limits
         self._reservations = Reservations(self.table, self.in_flight_requests)
         self._freed_slots: deque[_FreedSlot] = deque(maxlen=MAX_FREED_SLOTS)
-        self._slots: dict[str, tuple[float, float]] = {}
+        self._slot_counts: dict[str, tuple[float, float]] = {}
 
     def replace_servers(self, entries: Iterable[ServerEntry]) -> None:
         """Replace the list of servers; see `ServerTable.replace`."""
@@ -125,9 +125,9 @@
         -------
         ServerChoice or None
         """
-        room = self._compute_usable_slots(item, must_yield, now)
+        allowance = self._compute_usable_slots(item, must_yield, now)
         return self.router.choose(
-            item, self.table, allowance=room, excluded=excluded, now=now
+            item, self.table, allowance=allowance, excluded=excluded, now=now
         )
 
     def dispatch(self, item: WorkItem, choice: ServerChoice, now: float) -> Dispatch:
@@ -188,12 +188,12 @@
         Dispatch or None
             None if no usable server is known.
         """
-        for room in (
+        for allowance in (
             SlotAllowance(may_exceed_limit=True, spare_slots=0),
             SlotAllowance(is_unbounded=True),
         ):
             choice = self.router.choose(
-                item, self.table, allowance=room, excluded=excluded, now=now
+                item, self.table, allowance=allowance, excluded=excluded, now=now
             )
             if choice is not None:
                 return self.dispatch(item, choice, now)
@@ -407,9 +407,9 @@
                 return
 
     def _count_slots(self, model: str, now: float) -> float:
-        counted_at, slots = self._slots.get(model, (float("-inf"), 1.0))
+        counted_at, slots = self._slot_counts.get(model, (float("-inf"), 1.0))
         if now - counted_at >= SLOT_COUNT_CACHE_S:
             servers = self.table.list_for(model)
             slots = max(sum(server.capacity for server in servers), 1.0)
-            self._slots[model] = (now, slots)
+            self._slot_counts[model] = (now, slots)
         return slots
--- a/packages/decisions/src/ebonyhaven_decisions/_placement.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_placement.py
@@ -47,7 +47,7 @@
         Name and data centre.
     models : frozenset of str
         Loaded models.
-    parts : frozenset of str
+    variants : frozenset of str
         Loaded adapters and versions, as ``MODEL/NAME``.
     load : float
         Running and waiting sequences divided by the capacity.
@@ -60,7 +60,7 @@
     name: str
     data_centre: str
     models: frozenset[str]
-    parts: frozenset[str] = frozenset()
+    variants: frozenset[str] = frozenset()
     load: float = 0.0
     gap_ratio: float = 0.0
     leaving: bool = False
@@ -143,7 +143,7 @@
     high_since: dict[str, float] = {}
     low_since: dict[str, float] = {}
     usable = [server for server in servers if not server.leaving]
-    minimum = _count_minimum(pool, usable)
+    minimum = _compute_minimum_servers(pool, usable)
     for model in pool.models:
         loaded_servers = [server for server in usable if model in server.models]
         count = max(placement.counts.get(model, len(loaded_servers)), minimum)
@@ -205,11 +205,11 @@
 
 def is_order_applied(order: Order, server: PlacedServer) -> bool:
     """Return whether the state of a server shows the effect of an order."""
-    loaded = server.models if order.target is OrderTarget.MODEL else server.parts
+    loaded = server.models if order.target is OrderTarget.MODEL else server.variants
     return (order.name in loaded) == (order.kind is OrderKind.LOAD)
 
 
-def _count_minimum(pool: Pool, servers: Sequence[PlacedServer]) -> int:
+def _compute_minimum_servers(pool: Pool, servers: Sequence[PlacedServer]) -> int:
     sizes: dict[str, int] = {}
     for server in servers:
         sizes[server.data_centre] = sizes.get(server.data_centre, 0) + 1
@@ -264,7 +264,7 @@
         for target, names in groups:
             for name in names:
                 variant = f"{model}/{name}"
-                if variant not in server.parts:
+                if variant not in server.variants:
                     orders.append(Order(server.name, OrderKind.LOAD, target, variant))
     return orders
 
--- a/packages/decisions/src/ebonyhaven_decisions/_scheduler_factory.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_scheduler_factory.py
@@ -29,10 +29,10 @@
 
 
 def build_scheduler(
-    scheduling: SchedulingAlgorithm,
+    algorithm: SchedulingAlgorithm,
     policies: Mapping[str, ClassPolicy],
     *,
-    place: Locality,
+    locality: Locality,
     random_source: random.Random,
     now: float,
 ) -> Scheduler:
@@ -40,11 +40,11 @@
 
     Parameters
     ----------
-    scheduling : SchedulingAlgorithm
+    algorithm : SchedulingAlgorithm
         ``FAIR`` also enables concurrency limits and predictive admission.
     policies : mapping of str to ClassPolicy
         Policies by name of the request class.
-    place : Locality
+    locality : Locality
         Data centre and region of this instance; only ``FAIR`` uses them.
     random_source : random.Random
     now : float
@@ -55,10 +55,10 @@
     Scheduler
     """
     ledger = UsageLedger(now)
-    is_fair = scheduling is SchedulingAlgorithm.FAIR
+    is_fair = algorithm is SchedulingAlgorithm.FAIR
     if is_fair:
-        router = LoadAwareRouter(random_source, place)
-    elif scheduling is SchedulingAlgorithm.ROUND_ROBIN:
+        router = LoadAwareRouter(random_source, locality)
+    elif algorithm is SchedulingAlgorithm.ROUND_ROBIN:
         router = RoundRobinRouter()
     else:
         router = LeastConnectionsRouter(random_source)
--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -245,7 +245,7 @@
         scheduler = build_scheduler(
             SchedulingAlgorithm(self._settings.scheduling),
             {},
-            place=Locality(self._settings.data_centre, self._settings.region),
+            locality=Locality(self._settings.data_centre, self._settings.region),
             random_source=self._rng,
             now=time.monotonic(),
         )
--- a/packages/node/src/ebonyhaven_node/_control_plane.py
+++ b/packages/node/src/ebonyhaven_node/_control_plane.py
@@ -119,7 +119,7 @@
     return PoolControllers(
         make_lease=make_lease,
         declaration=lambda: dependencies.configuration.declaration,
-        parts=OrderDependencies(
+        dependencies=OrderDependencies(
             servers=dependencies.servers,
             weights=WeightClient(dependencies.transport),
             reactor=dependencies.reactor,
--- a/packages/node/src/ebonyhaven_node/_engines.py
+++ b/packages/node/src/ebonyhaven_node/_engines.py
@@ -76,7 +76,7 @@
     def __init__(self, *, server: BackendServer, offset: int, receiver: StreamReceiver):
         self.server = server
         self.next_offset = offset
-        self.last_arrival = time.monotonic()
+        self.last_received_at = time.monotonic()
         self.tokens_received = 0
         self._receiver: StreamReceiver | None = receiver
         self._parser = EventParser()
@@ -85,7 +85,7 @@
         """Parse received bytes and pass the tokens to the receiver."""
         if self._receiver is None:
             return
-        self.last_arrival = time.monotonic()
+        self.last_received_at = time.monotonic()
         try:
             tokens = self._parser.feed(data)
             self._check_order(tokens)
--- a/packages/node/src/ebonyhaven_node/_leases.py
+++ b/packages/node/src/ebonyhaven_node/_leases.py
@@ -120,7 +120,7 @@
     rng : random.Random
     candidacy : Candidacy
     metrics : LeaseMetrics
-    terms : LeaseTiming or None
+    timing : LeaseTiming or None
         Durations of the lease; None for the defaults.
     clock : callable
         Returns seconds of a monotonic clock that also advances while the process
@@ -137,7 +137,7 @@
         rng: random.Random,
         candidacy: Candidacy,
         metrics: LeaseMetrics,
-        terms: LeaseTiming | None = None,
+        timing: LeaseTiming | None = None,
         clock: Callable[[], float] = read_boottime_clock,
     ):
         self.lease = lease
@@ -147,13 +147,13 @@
         self._rng = rng
         self._candidacy = candidacy
         self._metrics = metrics
-        self._terms = terms or LeaseTiming()
+        self._timing = timing or LeaseTiming()
         self._clock = clock
         self._view = LeaseView(owner=owner.name, incarnation=owner.incarnation)
         self._lifecycle = make_lease_lifecycle(self._record_state)
         self._unconfirmed_write: _UnconfirmedWrite | None = None
         self._stopped = False
-        self._waiting: Deferred | None = None
+        self._pending_delay: Deferred | None = None
 
     @property
     def fence(self) -> int:
@@ -191,17 +191,17 @@
                 await self._step()
             self._update_lifecycle()
             period_s = STEP_PERIOD_S * self._rng.uniform(1 - STEP_JITTER_RATIO, 1)
-            self._waiting = task.deferLater(self._reactor, period_s)
+            self._pending_delay = task.deferLater(self._reactor, period_s)
             try:
-                await self._waiting
+                await self._pending_delay
             except CancelledError:
                 return
 
     def stop(self) -> None:
         """Stop `run`; a lease that is held expires."""
         self._stopped = True
-        if self._waiting is not None:
-            self._waiting.cancel()
+        if self._pending_delay is not None:
+            self._pending_delay.cancel()
 
     async def release(self) -> None:
         """Stop `run` and release the lease for immediate use by another instance."""
@@ -217,7 +217,7 @@
             await self._read_row()
         elif self._unconfirmed_write is not None:
             await self._read_row()
-        action = decide_lease_action(self._view, self._terms, self._clock())
+        action = decide_lease_action(self._view, self._timing, self._clock())
         if action is not LeaseAction.WAIT:
             await self._write_row(action.value)
 
@@ -252,7 +252,7 @@
         if action == "release":
             return build_release_row(self._view)
         return build_lease_row(
-            self._view, LeaseAction(action), self._terms, time.time()
+            self._view, LeaseAction(action), self._timing, time.time()
         )
 
     def _observe_row(self, read: Row) -> None:
@@ -269,7 +269,7 @@
             self._view = observe_lease(self._view, row, version, now)
             return
         self._view = confirm_lease(
-            self._view, row, version, self._terms, sent_at=sent_at, now=now
+            self._view, row, version, self._timing, sent_at=sent_at, now=now
         )
 
     def _update_lifecycle(self) -> None:
--- a/packages/node/src/ebonyhaven_node/_orders.py
+++ b/packages/node/src/ebonyhaven_node/_orders.py
@@ -47,8 +47,8 @@
 from ebonyhaven_node._leases import LeaseController, read_boottime_clock
 from ebonyhaven_node._servers import BackendServer, BackendServers
 
-MIN_ROUND_S = 2.0
-POOL_READS_PER_S = 5.0
+MIN_ROUND_INTERVAL_S = 2.0
+STATE_READS_PER_S = 5.0
 ROUND_JITTER_RATIO = 0.2
 REQUEST_TIMEOUT_S = 2.0
 ORDER_TIMEOUT_S = 30.0
@@ -165,7 +165,7 @@
         self._pending: dict[str, PendingOrder] = {}
         self._read_semaphore = DeferredSemaphore(MAX_CONCURRENT_READS)
         self._stopped = False
-        self._waiting: Deferred | None = None
+        self._pending_delay: Deferred | None = None
 
     async def run(self) -> None:
         """Run rounds until `stop` is called."""
@@ -177,19 +177,23 @@
                 self._placement = Placement()
                 self._pending = {}
             count = len(self._dependencies.servers.list_in_pools([self._pool]))
-            round_s = max(MIN_ROUND_S, count / POOL_READS_PER_S)
-            round_s *= self._dependencies.rng.uniform(1 - ROUND_JITTER_RATIO, 1)
-            self._waiting = task.deferLater(self._dependencies.reactor, round_s)
+            round_interval_s = max(MIN_ROUND_INTERVAL_S, count / STATE_READS_PER_S)
+            round_interval_s *= self._dependencies.rng.uniform(
+                1 - ROUND_JITTER_RATIO, 1
+            )
+            self._pending_delay = task.deferLater(
+                self._dependencies.reactor, round_interval_s
+            )
             try:
-                await self._waiting
+                await self._pending_delay
             except CancelledError:
                 return
 
     def stop(self) -> None:
         """Stop `run`."""
         self._stopped = True
-        if self._waiting is not None:
-            self._waiting.cancel()
+        if self._pending_delay is not None:
+            self._pending_delay.cancel()
 
     async def _run_round(self, declaration: Declaration) -> None:
         pool = declaration.pools.get(self._pool)
@@ -250,7 +254,7 @@
             name=server.name,
             data_centre=server.data_centre,
             models=item.models,
-            parts=item.variants,
+            variants=item.variants,
             load=(server.running + server.waiting) / max(1, server.capacity),
             gap_ratio=server.pace_s / strictest_gap_s,
             leaving=item.leaving,
--- a/packages/node/src/ebonyhaven_node/_pool_controllers.py
+++ b/packages/node/src/ebonyhaven_node/_pool_controllers.py
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen(slots=True)
-class _PoolControllers:
+class _ControllerPair:
     lease: LeaseController
     orders: OrderController
 
@@ -86,7 +86,7 @@
         Returns a `LeaseController` for the name of a lease.
     declaration : callable
         Returns the active declaration.
-    parts : OrderDependencies
+    dependencies : OrderDependencies
     """
 
     def __init__(
@@ -94,12 +94,12 @@
         *,
         make_lease: Callable[[str], LeaseController],
         declaration: Callable[[], Declaration | None],
-        parts: OrderDependencies,
+        dependencies: OrderDependencies,
     ):
         self._make_lease = make_lease
         self._declaration = declaration
-        self._order_dependencies = parts
-        self._pools: dict[str, _PoolControllers] = {}
+        self._order_dependencies = dependencies
+        self._pools: dict[str, _ControllerPair] = {}
 
     def update(self, declaration: Declaration) -> None:
         """Start and stop controllers to match the engine pools of a declaration.
@@ -108,14 +108,14 @@
         ----------
         declaration : Declaration
         """
-        wanted = {
+        declared = {
             pool.name
             for pool in declaration.pools.values()
             if pool.kind is PoolKind.ENGINE
         }
-        for name in self._pools.keys() - wanted:
+        for name in self._pools.keys() - declared:
             self._pools.pop(name).release()
-        for name in wanted - self._pools.keys():
+        for name in declared - self._pools.keys():
             self._pools[name] = self._start(name)
 
     def stop(self) -> None:
@@ -129,7 +129,7 @@
         pools, self._pools = self._pools, {}
         await gatherResults([pool.release() for pool in pools.values()])
 
-    def _start(self, name: str) -> _PoolControllers:
+    def _start(self, name: str) -> _ControllerPair:
         lease = self._make_lease(f"orders-{name}")
         orders = OrderController(
             pool=name,
@@ -139,4 +139,4 @@
         )
         start_controller(lease.lease, lease.run())
         start_controller(f"orders of {name}", orders.run())
-        return _PoolControllers(lease, orders)
+        return _ControllerPair(lease, orders)
--- a/packages/node/src/ebonyhaven_node/_run_claims.py
+++ b/packages/node/src/ebonyhaven_node/_run_claims.py
@@ -18,7 +18,7 @@
 from ebonyhaven_node._failures import make_failure
 from ebonyhaven_node._requests import GenerationRequest
 
-FIRST_EPOCH = 1
+FIRST_FENCE = 1
 
 
 class RunClaim:
@@ -45,7 +45,7 @@
     @property
     def fence(self) -> int:
         """Fencing number of the attempts under this claim."""
-        return FIRST_EPOCH if self._claim is None else self._claim.row["epoch"]
+        return FIRST_FENCE if self._claim is None else self._claim.row["epoch"]
 
     @property
     def server(self) -> str:
--- a/packages/node/src/ebonyhaven_node/forwarding/_calls.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_calls.py
@@ -71,15 +71,15 @@
         service: str,
         workspace: str | None,
         exchange: Exchange,
-        parts: RelayContext,
+        context: RelayContext,
     ):
         self._request = request
         self._route = route
         self._service = service
         self._workspace = workspace
         self._exchange = exchange
-        self._context = parts
-        self._inbox = Inbox(parts.reactor)
+        self._context = context
+        self._inbox = Inbox(context.reactor)
         self._attempts: list[Attempt] = []
         self._running: list[Attempt] = []
         self._responses: dict[Attempt, _BufferedResponse] = {}
@@ -90,13 +90,13 @@
         self._refusal_count = 0
         self._last_reason = "no server was tried"
         self._last_peer = "self"
-        wait_s = route.timeout_s
-        if request.wait_s is not None:
-            wait_s = min(wait_s, request.wait_s)
-        self._deadline = request.arrived_at + wait_s
+        timeout_s = route.timeout_s
+        if request.timeout_s is not None:
+            timeout_s = min(timeout_s, request.timeout_s)
+        self._deadline = request.arrived_at + timeout_s
         self._excluded_servers: set[tuple[str, int]] = set()
         self._server_wait_deadline = (
-            request.arrived_at + SERVER_WAIT_TIMEOUT_SHARE * wait_s
+            request.arrived_at + SERVER_WAIT_TIMEOUT_SHARE * timeout_s
         )
 
     async def run(self) -> None:
--- a/packages/node/src/ebonyhaven_node/forwarding/_filters.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_filters.py
@@ -270,10 +270,10 @@
         }
         if route.kind is not RequestKind.STREAM:
             return CallRelay(**shared)
-        known = work.configuration.services.get(service)
+        declared = work.configuration.services.get(service)
         return StreamRelay(
-            engine=known.engine if known else None,
-            urgency=_get_priority(route, workspace),
+            engine=declared.engine if declared else None,
+            priority=_get_priority(route, workspace),
             **shared,
         )
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -147,8 +147,8 @@
         self._rng = rng or random.Random()
         self._load = ProcessorLoad()
         self._leaving_since: float | None = None
-        self._active = 0
-        self._log_losses: LogOutput | None = None
+        self._active_count = 0
+        self._log_output: LogOutput | None = None
         self.pool = ConnectionPool(reactor, clock)
         self.source = build_source(self.state, self.pool)
         self._adopter = EngineAdopter(
@@ -225,7 +225,7 @@
         ----------
         log_output : LogOutput
         """
-        self._log_losses = log_output
+        self._log_output = log_output
         log_output.register_metric(self.registry)
 
     def choose_entries(self) -> EntryList:
@@ -248,10 +248,10 @@
             return
         self._leaving_since = self._clock()
         self.membership.leave()
-        _log.info("instance_leaving", active=self._active)
+        _log.info("instance_leaving", active=self._active_count)
         while self._clock() < self._get_closing_time():
             await task.deferLater(self._reactor, DRAIN_POLL_INTERVAL_S)
-        _log.info("instance_stopped", active=self._active)
+        _log.info("instance_stopped", active=self._active_count)
         await self.membership.depart()
         self.server.close_all()
         self._stack.close()
@@ -263,8 +263,8 @@
     def _sweep(self) -> None:
         self.pool.close_expired()
         self._adopter.remove_unconfirmed()
-        if self._log_losses is not None:
-            self._log_losses.drain()
+        if self._log_output is not None:
+            self._log_output.drain()
 
     def _accepts(self, route: Route) -> bool:
         """Return whether a request that arrives now can finish before shutdown."""
@@ -374,13 +374,13 @@
             self._use_exchange.report_lost_server(backend)
 
     def _handle(self, exchange: Exchange) -> None:
-        self._active += 1
+        self._active_count += 1
         running = ensureDeferred(self._chain(RequestContext(exchange)))
         exchange.on_disconnect = running.cancel
         running.addBoth(self._finish, exchange)
 
     def _finish(self, result: object, exchange: Exchange) -> None:
-        self._active -= 1
+        self._active_count -= 1
         check = getattr(result, "check", None)
         if check is None:
             return
--- a/packages/node/src/ebonyhaven_node/forwarding/_messages.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_messages.py
@@ -79,7 +79,7 @@
     headers : tuple of (bytes, bytes)
         Headers to forward unchanged.
     body : bytes
-    wait_s : float or None
+    timeout_s : float or None
         Caller's timeout, counted from ``arrived_at``. None if it set none.
     api_key : str or None
     last_event_id : str or None
@@ -99,7 +99,7 @@
     path: str
     headers: Headers
     body: bytes
-    wait_s: float | None
+    timeout_s: float | None
     api_key: str | None
     last_event_id: str | None
     size: GenerationSize | None
@@ -138,7 +138,7 @@
         Time until the deadline of the request.
     workspace : str or None
         Name of the caller's workspace.
-    urgency : int or None
+    priority : int or None
         Priority within the engine, 0 is the most urgent; None for the default.
     copy_to : str or None
         Address of the engine that stores a copy of the run's memory.
@@ -150,7 +150,7 @@
 
     remaining_s: float
     workspace: str | None = None
-    urgency: int | None = None
+    priority: int | None = None
     copy_to: str | None = None
     copy: CopyReference | None = None
     last_event_id: str | None = None
--- a/packages/node/src/ebonyhaven_node/forwarding/_streams.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_streams.py
@@ -41,9 +41,9 @@
 
 CAPACITY_POLL_INTERVAL_S = 0.1  # if no notification arrives
 MAX_TRIED_SERVERS = 40  # lost servers do not count against the route's max_attempts
-RESUME_URGENCY = 2  # before new requests, as the caller has received a partial stream
-LATE_URGENCY = 7  # yields to streams that can still meet their target
-DEFAULT_URGENCY = 5  # assumed by engines if the request states none
+RESUMED_PRIORITY = 2  # before new requests, as the caller has received a partial stream
+LATE_PRIORITY = 7  # yields to streams that can still meet their target
+DEFAULT_PRIORITY = 5  # assumed by engines if the request states none
 LATEST_START_SHARE = 0.75  # of the time limit; streams started later would not complete
 TOO_LATE_REASON = "too little time is left for a whole answer"
 
@@ -67,10 +67,10 @@
     service : str
     engine : EngineTraits or None
     workspace : str or None
-    urgency : int
+    priority : int
         Urgency of the request; 0 is the most urgent.
     exchange : Exchange
-    parts : RelayContext
+    context : RelayContext
     """
 
     def __init__(
@@ -81,43 +81,43 @@
         service: str,
         engine: EngineTraits | None,
         workspace: str | None,
-        urgency: int,
+        priority: int,
         exchange: Exchange,
-        parts: RelayContext,
+        context: RelayContext,
     ):
         self._request = request
         self._route = route
         self._service = service
         self._engine = engine
         self._workspace = workspace
-        self._urgency = urgency
+        self._priority = priority
         self._exchange = exchange
-        self._context = parts
-        self._inbox = Inbox(parts.reactor)
+        self._context = context
+        self._inbox = Inbox(context.reactor)
         size = request.size
         self._demand = (
             TokenDemand(size.prompt_tokens, size.output_tokens)
             if size
             else TokenDemand(0, 0)
         )
-        wait_s = route.timeout_s
-        if request.wait_s is not None:
-            wait_s = min(wait_s, request.wait_s)
-        self._deadline = request.arrived_at + wait_s
-        self._latest_start = request.arrived_at + LATEST_START_SHARE * wait_s
+        timeout_s = route.timeout_s
+        if request.timeout_s is not None:
+            timeout_s = min(timeout_s, request.timeout_s)
+        self._deadline = request.arrived_at + timeout_s
+        self._latest_start = request.arrived_at + LATEST_START_SHARE * timeout_s
         self._progress = StreamProgress(
-            request=request, route=route, exchange=exchange, context=parts
+            request=request, route=route, exchange=exchange, context=context
         )
         self._attempts = 0
         self._tried_servers = 0
         self._failed_attempts = 0
         self._may_have_run = False
         self._server_selector = StreamServerSelector(
-            service=service, engine=engine, demand=self._demand, context=parts
+            service=service, engine=engine, demand=self._demand, context=context
         )
         self._run_copy: RunCopy | None = None
-        self._earlier_run = EarlierRun(request=request, route=route, context=parts)
-        self._failed_answer: tuple[ResponseHead, bytes] | None = None
+        self._earlier_run = EarlierRun(request=request, route=route, context=context)
+        self._error_response: tuple[ResponseHead, bytes] | None = None
         self._last_reason = "no server was tried"
         self._last_peer = "self"
 
@@ -211,8 +211,8 @@
         if self._exchange.is_started:
             self._exchange.abort()
             return
-        if self._failed_answer is not None:  # more specific than `reason`
-            head, body = self._failed_answer
+        if self._error_response is not None:  # more specific than `reason`
+            head, body = self._error_response
             self._exchange.respond(head.status, head.headers, body)
             return
         if not self._may_have_run:
@@ -258,7 +258,7 @@
             plan=AttemptPlan(
                 remaining_s=self._deadline - now,
                 workspace=self._workspace,
-                urgency=self._choose_urgency(target.copy is not None),
+                priority=self._choose_engine_priority(target.copy is not None),
                 copy_to=holder.entry.address if holder else None,
                 copy=target.copy,
                 last_event_id=self._progress.position,
@@ -346,13 +346,13 @@
             waited_s=round(now - self._request.arrived_at, 3),
         )
 
-    def _choose_urgency(self, is_from_copy: bool) -> int | None:
+    def _choose_engine_priority(self, is_from_copy: bool) -> int | None:
         if self._progress.is_late:
-            return LATE_URGENCY
+            return LATE_PRIORITY
         if is_from_copy or self._progress.delivered:
-            return RESUME_URGENCY
-        urgency = DEFAULT_URGENCY - 1 + min(2, self._urgency)
-        return None if urgency == DEFAULT_URGENCY else urgency
+            return RESUMED_PRIORITY
+        priority = DEFAULT_PRIORITY - 1 + min(2, self._priority)
+        return None if priority == DEFAULT_PRIORITY else priority
 
     # -- result ------------------------------------------------------------
 
@@ -363,7 +363,7 @@
         self._context.metrics.attempts.labels(self._route.kind.value, end.value).inc()
         self._last_reason = result.reason
         self._last_peer = backend.server_id
-        self._failed_answer = result.error_response or self._failed_answer
+        self._error_response = result.error_response or self._error_response
         self._log_attempt_ended(target, result, now)
         if target.copy is not None and end is AttemptEnd.NOT_RUN:
             self._context.metrics.resumes.labels("copy_gone").inc()
--- a/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
@@ -135,7 +135,7 @@
     scheduler = build_scheduler(
         SchedulingAlgorithm.FAIR,
         derive_policies(CLASS_TARGETS),
-        place=LOCALITY,
+        locality=LOCALITY,
         random_source=random.Random(1),
         now=0.0,
     )
--- a/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_dialect.py
@@ -37,7 +37,7 @@
             path=exchange.head.target.decode(),
             headers=(),
             body=exchange.body,
-            wait_s=None,
+            timeout_s=None,
             api_key=API_KEY,
             last_event_id=None,
             size=GenerationSize(int(prompt), int(output)),
--- a/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
@@ -88,7 +88,7 @@
         scheduler = build_scheduler(
             SchedulingAlgorithm.FAIR,
             derive_policies(targets),
-            place=Locality("data-centre-0", "region-0"),
+            locality=Locality("data-centre-0", "region-0"),
             random_source=random.Random(1),
             now=NOW_S,
         )
--- a/tests/decisions/scheduling.py
+++ b/tests/decisions/scheduling.py
@@ -56,7 +56,7 @@
     scheduler = build_scheduler(
         SchedulingAlgorithm.FAIR,
         policies or POLICIES,
-        place=LOCAL_PLACE,
+        locality=LOCAL_PLACE,
         random_source=random.Random(seed),
         now=0.0,
     )
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -26,8 +26,8 @@
 
 
 def make_server(index: int, *models: str, **state) -> PlacedServer:
-    parts = frozenset({"a/1"}) if "a" in models else frozenset()
-    state = {"parts": parts, **state}
+    variants = frozenset({"a/1"}) if "a" in models else frozenset()
+    state = {"parts": variants, **state}
     data_centre = DATA_CENTRES[index % 2]
     return PlacedServer(f"s{index}", data_centre, frozenset(models), **state)
 
@@ -64,7 +64,7 @@
 
     def apply_order(self, order: Order) -> None:
         server = self.servers[order.server]
-        loaded = server.models if order.target is OrderTarget.MODEL else server.parts
+        loaded = server.models if order.target is OrderTarget.MODEL else server.variants
         changed = {order.name}
         loaded = loaded | changed if order.kind is OrderKind.LOAD else loaded - changed
         field = "models" if order.target is OrderTarget.MODEL else "parts"
@@ -120,11 +120,11 @@
 def test_missing_versions_are_loaded_with_one_order_per_server():
     models = {"a": Model(name="a", versions=("1", "2"), adapters=("x",))}
     pool = Pool(name="p", kind=PoolKind.ENGINE, models=("a",))
-    servers = [make_server(0, "a", parts=frozenset())]
+    servers = [make_server(0, "a", variants=frozenset())]
     expected = Order("s0", OrderKind.LOAD, OrderTarget.VERSION, "a/1")
     assert list_orders(Placement(), pool, models, servers) == [expected]
     assert not is_order_applied(expected, servers[0])
-    loaded = servers[0]._replace(parts=frozenset({"a/1"}))
+    loaded = servers[0]._replace(variants=frozenset({"a/1"}))
     assert is_order_applied(expected, loaded)
     assert list_orders(Placement(), pool, models, [loaded])[0].name == "a/2"
 
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -184,7 +184,7 @@
         scheduler = build_scheduler(
             scheduling,
             POLICIES,
-            place=LOCAL_PLACE,
+            locality=LOCAL_PLACE,
             random_source=random.Random(1),
             now=0.0,
         )
--- a/tests/node/test_leases.py
+++ b/tests/node/test_leases.py
@@ -19,7 +19,7 @@
 from tests.reactor_thread import run_in_reactor
 from tests.store_client.platform_process import run_platform, set_faults
 
-TERMS = LeaseTiming(duration_s=600.0, renew_after_s=0.01, safety_margin_s=1.0)
+TIMING = LeaseTiming(duration_s=600.0, renew_after_s=0.01, safety_margin_s=1.0)
 LOST_RESPONSES = 3
 
 
@@ -41,7 +41,7 @@
             rng=random.Random(name),
             candidacy=AlwaysCandidate(),
             metrics=LeaseMetrics(self.registry),
-            terms=TERMS,
+            timing=TIMING,
         )
 
     def count_writes(self, result: str) -> float:
--- a/tests/node/test_policy_scheduling.py
+++ b/tests/node/test_policy_scheduling.py
@@ -55,7 +55,7 @@
         scheduler=build_scheduler(
             SchedulingAlgorithm.FAIR,
             {},
-            place=Locality("dc-a", "r1"),
+            locality=Locality("dc-a", "r1"),
             random_source=random.Random(1),
             now=now,
         ),
