--- a/packages/decisions/src/ebonyhaven_decisions/_dispatching.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_dispatching.py
@@ -46,7 +46,7 @@
 
 
 class Dispatcher:
-    """Assigns requests to servers and tracks them until they end.
+    """Assigns requests to servers and tracks the requests until they end.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
     table : ServerTable
     in_flight_requests : InFlightTable
     server_failures : int
-        Number of lost requests and of servers found unreachable.
+        Number of lost requests and of servers that became suspect as unreachable.
     change_count : int
         Number of changes after which a waiting request may find a free slot.
     """
@@ -117,7 +117,8 @@
         excluded : set of str
             Servers that must not be chosen.
         must_yield : bool
-            Whether slots are left free for another instance.
+            Whether to leave some slots free, because a workspace at another instance
+            has to be served first.
         now : float
             Seconds.
 
@@ -298,16 +299,16 @@
             state.record_report(report, self.read_gap_limit_ms())
 
     def list_classes_not_more_urgent(self, policy: ClassPolicy) -> list[str]:
-        """Return the classes that are not more urgent than a policy.
+        """Return the names of the classes that are not more urgent than a policy.
 
-        Requests of the class may use the slots that these classes free.
+        A request under the policy may use the slots that these classes free.
         """
         return [
             name for name, other in self.policies.items() if other.rank >= policy.rank
         ]
 
     def read_gap_limit_ms(self) -> float:
-        """Return the smallest gap limit of all classes, milliseconds."""
+        """Return the smallest limit of the gap between tokens, milliseconds."""
         limits = [policy.gap_limit_ms for policy in self.policies.values()]
         return min(limits, default=DEFAULT_GAP_LIMIT_MS)
 
@@ -349,13 +350,15 @@
     def estimate_share_completions_per_s(
         self, model: str, mean_cost: float, now: float
     ) -> float:
-        """Return the completions per second on an equal share of all slots.
+        """Return the completions per second on the share of this instance.
+
+        The slots of the servers are divided equally among the instances.
 
         Parameters
         ----------
         model : str
         mean_cost : float
-            Mean service of a request, decode tokens.
+            Mean cost of a request, decode tokens.
         now : float
             Seconds.
 
--- a/packages/decisions/src/ebonyhaven_decisions/_placement.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_placement.py
@@ -19,6 +19,9 @@
 class PlacementPolicy:
     """Thresholds for loading and unloading models.
 
+    The pressure on a model is the mean load or, if larger, the mean gap ratio of the
+    servers that have it loaded. The gap ratio counts only under load.
+
     Parameters
     ----------
     high_pressure : float
@@ -44,7 +47,6 @@
     Parameters
     ----------
     name, data_centre : str
-        Name and data centre.
     models : frozenset of str
         Loaded models.
     variants : frozenset of str
@@ -104,7 +106,7 @@
     counts : dict of str to int
         Desired number of servers by model.
     high_since, low_since : dict of str to float
-        Time since which the pressure has been high or low, seconds.
+        Time since which the pressure has been high or low, by model, seconds.
     """
 
     counts: Mapping[str, int] = attrs.field(factory=dict)
@@ -171,9 +173,10 @@
     models: Mapping[str, Model],
     servers: Iterable[PlacedServer],
 ) -> list[Order]:
-    """Return the pending orders, the most urgent first.
+    """Return the orders that establish the desired state.
 
-    Each server gets at most one order. Servers that have a model loaded also load
+    Loads of models come first and unloads last. Each server gets at most one order,
+    the first that applies to it. Servers that have a model loaded also load
     its adapters and versions. A model is only unloaded from an idle server, and
     only while enough other servers in the same data centre have it loaded.
 
@@ -235,11 +238,11 @@
         local_servers = [
             item for item in loaded_servers if item.data_centre == data_centre
         ]
-        missing = max(0, pool.minimum_servers - len(local_servers))
+        local_missing = max(0, pool.minimum_servers - len(local_servers))
         local_candidates = [
             item for item in candidates if item.data_centre == data_centre
         ]
-        chosen += local_candidates[:missing]
+        chosen += local_candidates[:local_missing]
     missing = placement.counts.get(model, 0) - len(loaded_servers) - len(chosen)
     remaining = [server for server in candidates if server not in chosen]
     chosen += remaining[: max(0, missing)]
--- a/packages/node/src/ebonyhaven_node/_composition.py
+++ b/packages/node/src/ebonyhaven_node/_composition.py
@@ -108,7 +108,7 @@
         _log.info("node_started", instance=self._settings.instance)
 
     def attach_log_output(self, log_output: LogOutput) -> None:
-        """Export the number of lost log lines and write pending lines periodically.
+        """Export the number of lost log lines and write buffered lines periodically.
 
         Parameters
         ----------
--- a/packages/node/src/ebonyhaven_node/_control_plane.py
+++ b/packages/node/src/ebonyhaven_node/_control_plane.py
@@ -26,7 +26,7 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ControlPlaneDependencies:
-    """Dependencies of the controllers.
+    """Dependencies of the configuration, lease and order controllers.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
 def start_control_plane(
     dependencies: ControlPlaneDependencies, stack: contextlib.ExitStack
 ) -> PoolControllers:
-    """Start the controllers.
+    """Start the configuration controller and the lease and order controllers.
 
     Parameters
     ----------
--- a/packages/node/src/ebonyhaven_node/_engines.py
+++ b/packages/node/src/ebonyhaven_node/_engines.py
@@ -71,6 +71,14 @@
     offset : int
         Offset of the first expected token.
     receiver : StreamReceiver
+
+    Attributes
+    ----------
+    next_offset : int
+        Offset of the next expected token.
+    last_received_at : float
+        Monotonic time of the last received data, seconds.
+    tokens_received : int
     """
 
     def __init__(self, *, server: BackendServer, offset: int, receiver: StreamReceiver):
@@ -99,7 +107,7 @@
     def connectionLost(self, reason: Failure = None) -> None:  # noqa: N802
         """Report the loss of an incomplete stream.
 
-        A complete stream has delivered its end as a token.
+        A stream is complete once a token with a finish reason has arrived.
         """
         if reason is None or self._parser.done:
             return
--- a/packages/node/src/ebonyhaven_node/_entry_lists.py
+++ b/packages/node/src/ebonyhaven_node/_entry_lists.py
@@ -13,7 +13,7 @@
     choose_entries,
 )
 
-STABLE_AFTER_S = 10.0
+STABLE_AFTER_S = 10.0  # without a change of the membership view
 
 
 class EntryLists:
@@ -52,7 +52,7 @@
         self._excluded = frozenset(names)
 
     def record_change(self) -> None:
-        """Shorten the caching time of entry lists after a change of the view.
+        """Shorten the time to live of entry lists after a membership change.
 
         The effect lasts ``STABLE_AFTER_S`` seconds.
         """
--- a/packages/node/src/ebonyhaven_node/_leases.py
+++ b/packages/node/src/ebonyhaven_node/_leases.py
@@ -99,7 +99,7 @@
     ----------
     row : LeaseRow
     sent_at : float
-        Time just before the write was sent, seconds of the lease clock.
+        Time just before the write was sent, seconds of the controller's clock.
     """
 
     row: LeaseRow
@@ -176,7 +176,7 @@
         return may_order(self._view, self._clock(), longest_pause_s=longest_pause_s)
 
     def step_down(self) -> None:
-        """Drop the lease without a write, because another instance has acquired it."""
+        """Give up the lease without a write, as another instance has acquired it."""
         self._view = LeaseView(
             owner=self._view.owner, incarnation=self._view.incarnation
         )
@@ -204,7 +204,10 @@
             self._pending_delay.cancel()
 
     async def release(self) -> None:
-        """Stop `run` and release the lease for immediate use by another instance."""
+        """Stop `run` and release the lease if it is held.
+
+        Another instance can then acquire it before it expires.
+        """
         self.stop()
         if self.is_held():
             with contextlib.suppress(PlatformError, ValueError):
--- a/packages/node/src/ebonyhaven_node/_orders.py
+++ b/packages/node/src/ebonyhaven_node/_orders.py
@@ -2,10 +2,10 @@
 
 Each round reads the state of every server and sends the orders that are still
 required, with at most one pending order per server. The lease is checked again
-right before an order is written to its connection. If a
-paused holder still sends an order after its lease has expired, servers that check
-fencing numbers reject it. On servers that ignore them, the current holder detects
-the effect in its next round and reverts it with another order.
+right before an order is written to its connection. If a paused holder still sends
+an order after its lease has expired, servers that check fencing numbers reject it.
+On servers that ignore them, the current holder detects the effect in its next round
+and reverts it with another order.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 STATE_READS_PER_S = 5.0
 ROUND_JITTER_RATIO = 0.2
 REQUEST_TIMEOUT_S = 2.0
-ORDER_TIMEOUT_S = 30.0
+ORDER_TIMEOUT_S = 30.0  # until the reported state shows the effect
 MAX_CONCURRENT_READS = 8
 STATUS_STALE_FENCE = 409
 
@@ -84,7 +84,7 @@
     models : frozenset of str
         Loaded models.
     variants : frozenset of str
-        Loaded adapters and versions.
+        Loaded adapters and versions, as ``MODEL/NAME``.
     leaving : bool
         Whether the server accepts no new work.
     """
@@ -274,7 +274,7 @@
                 ).inc()
 
     async def _request_fetch(self, order: Order) -> bool:
-        """Return whether the rate limit of the weight store permits an order."""
+        """Return whether the weight store permits the fetch that an order causes."""
         if order.kind is not OrderKind.LOAD:
             return True
         try:
--- a/packages/node/src/ebonyhaven_node/_run_claims.py
+++ b/packages/node/src/ebonyhaven_node/_run_claims.py
@@ -1,4 +1,4 @@
-"""The claim of one run."""
+"""Claim of one run, required before the dispatch of some requests."""
 
 from __future__ import annotations
 
@@ -18,11 +18,13 @@
 from ebonyhaven_node._failures import make_failure
 from ebonyhaven_node._requests import GenerationRequest
 
-FIRST_FENCE = 1
+FIRST_FENCE = 1  # epoch of a new claim
 
 
 class RunClaim:
-    """Claim of one run, needed only if the request is not repeatable.
+    """Claim that limits a run to one first dispatch.
+
+    It is required only if the request is not repeatable.
 
     Parameters
     ----------
--- a/packages/node/src/ebonyhaven_node/forwarding/__init__.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/__init__.py
@@ -22,7 +22,6 @@
 from ebonyhaven_node.forwarding._state import ForwardingState
 
 __all__ = [
-    "ResponseHead",
     "AttemptPlan",
     "CallerServer",
     "ConnectionPool",
@@ -32,10 +31,11 @@
     "ForwardingState",
     "Gateway",
     "GatewaySettings",
-    "Headers",
-    "ResponseHandler",
     "GenerationSize",
+    "Headers",
     "HttpRequest",
     "RequestHead",
+    "ResponseHandler",
+    "ResponseHead",
     "make_not_run_failure",
 ]
--- a/packages/node/src/ebonyhaven_node/forwarding/_calls.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_calls.py
@@ -29,7 +29,7 @@
     NOT_RUN_STATUSES,
 )
 
-# Leaves the hedged attempt the other half of the target latency.
+# Share of the target latency before hedging; the hedge may still meet the target.
 HEDGE_DELAY_TARGET_SHARE = 0.5
 MAX_REFUSALS = 4  # by backend servers, before the request itself is refused
 # Share of the request's timeout spent waiting for a usable server.
--- a/packages/node/src/ebonyhaven_node/forwarding/_filters.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_filters.py
@@ -234,7 +234,7 @@
 
 
 class RelayFilter(Filter[RequestContext]):
-    """Sends the request to backend servers and relays the answer.
+    """Sends the request to backend servers and relays the response.
 
     Parameters
     ----------
@@ -266,7 +266,7 @@
             "service": service,
             "workspace": workspace.name if workspace else None,
             "exchange": work.exchange,
-            "parts": self._context,
+            "context": self._context,
         }
         if route.kind is not RequestKind.STREAM:
             return CallRelay(**shared)
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -69,9 +69,9 @@
 
 LISTEN_BACKLOG = 512  # connections not yet accepted during a burst
 STREAM_ADMISSION_GRACE_SHARE = 0.25  # a stream started later would be cut off
-SHUTDOWN_MARGIN_S = 0.6  # closes connections before the process is killed
+SHUTDOWN_MARGIN_S = 0.6  # connections close this long before the process is killed
 DRAIN_POLL_INTERVAL_S = 0.05
-MAX_DEATHS_PER_CONTENT = 3  # server crashes before a content is rejected
+MAX_DEATHS_PER_CONTENT = 3  # server crashes before equal requests are rejected
 
 _log = structlog.get_logger()
 
@@ -122,7 +122,7 @@
         Returns the `RunCopier` for a `ConnectionPool`.
     rng : random.Random or None
     clock : callable
-        Returns seconds.
+        Returns seconds of a monotonic clock.
     """
 
     def __init__(
@@ -219,7 +219,7 @@
         _log.info("instance_started", instance=self._settings.instance)
 
     def attach_log_output(self, log_output: LogOutput) -> None:
-        """Export lost log lines as a metric and write buffered lines periodically.
+        """Export the number of lost log lines and write buffered lines periodically.
 
         Parameters
         ----------
@@ -239,10 +239,9 @@
     async def leave(self) -> None:
         """Shut down gracefully.
 
-        Callers may use an entry list with this instance for several times its time
-        to live, so the instance stays reachable until `SHUTDOWN_MARGIN_S` before the
-        end of the grace period and rejects only requests that could not finish
-        in time.
+        Callers may use an entry list for several times its time to live. Therefore
+        the instance stays reachable until `SHUTDOWN_MARGIN_S` before the end of the
+        grace period and rejects only requests that could not finish in time.
         """
         if self.is_leaving:
             return
--- a/packages/node/src/ebonyhaven_node/forwarding/_messages.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_messages.py
@@ -89,7 +89,7 @@
     prompt_id : str or None
         Identifies the section of the prompt that is unique to this request.
     arrived_at : float
-        Seconds.
+        Time of arrival, seconds of the clock of `Gateway`.
     """
 
     request_id: str
@@ -215,9 +215,9 @@
     ----------
     attempt : Attempt
     was_sent : bool
-        Whether the server may have run the request.
+        Whether the request was sent, so that the server may have run it.
     is_connection_lost : bool
-        True if the connection ended, False if the response is malformed.
+        True if the connection failed or ended, False if the response is malformed.
     reason : str
     """
 
--- a/packages/node/src/ebonyhaven_node/forwarding/_streams.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_streams.py
@@ -41,10 +41,11 @@
 
 CAPACITY_POLL_INTERVAL_S = 0.1  # if no notification arrives
 MAX_TRIED_SERVERS = 40  # lost servers do not count against the route's max_attempts
-RESUMED_PRIORITY = 2  # before new requests, as the caller has received a partial stream
+# Priorities within an engine; 0 is the most urgent.
+RESUMED_PRIORITY = 2  # before new streams: the caller has received some events
 LATE_PRIORITY = 7  # yields to streams that can still meet their target
 DEFAULT_PRIORITY = 5  # assumed by engines if the request states none
-LATEST_START_SHARE = 0.75  # of the time limit; streams started later would not complete
+LATEST_START_SHARE = 0.75  # of the timeout; streams started later would not complete
 TOO_LATE_REASON = "too little time is left for a whole answer"
 
 _log = structlog.get_logger()
@@ -68,7 +69,7 @@
     engine : EngineTraits or None
     workspace : str or None
     priority : int
-        Urgency of the request; 0 is the most urgent.
+        Priority of the request; 0 is the most urgent.
     exchange : Exchange
     context : RelayContext
     """
@@ -122,7 +123,7 @@
         self._last_peer = "self"
 
     async def run(self) -> None:
-        """Respond to the caller.
+        """Relay the stream to the caller and resume it after losses of servers.
 
         Raises
         ------
@@ -168,7 +169,7 @@
         return False
 
     def _check_may_continue(self, now: float) -> None:
-        """End the request if another attempt is not allowed or cannot succeed."""
+        """Fail the request if another attempt is not allowed or cannot succeed."""
         if now >= self._deadline:
             self._give_up(now, "the time of the request is over")
         elif not self._may_have_run and now >= self._latest_start:
--- a/packages/standins/src/ebonyhaven_standins/caller/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/__init__.py
@@ -40,6 +40,6 @@
     "TokenEvent",
     "derive_prompt_origin",
     "parse_event_id",
-    "read_history",
     "parse_token_event",
+    "read_history",
 ]
--- a/packages/standins/src/ebonyhaven_standins/cluster/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/__init__.py
@@ -40,6 +40,6 @@
     "ProcessSet",
     "allocate_address",
     "derive_loopback_prefix",
-    "find_binary",
     "derive_process_seed",
+    "find_binary",
 ]
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/__init__.py
@@ -8,10 +8,10 @@
 from ebonyhaven_standins.fault_proxy._links import Link, LinkTable
 
 __all__ = [
+    "ControlInterface",
     "FaultKind",
     "Link",
     "LinkFactory",
     "LinkFaults",
     "LinkTable",
-    "ControlInterface",
 ]
--- a/packages/standins/src/ebonyhaven_standins/slopes/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/__init__.py
@@ -27,16 +27,16 @@
 )
 
 __all__ = [
-    "CAPACITY_LINES",
     "BENCHMARKS",
+    "CAPACITY_LINES",
     "QUANTITIES",
-    "Fit",
     "CapacityLine",
+    "Fit",
     "Measurement",
     "Point",
     "Quantity",
-    "fit_mean",
     "fit_line",
+    "fit_mean",
     "format_figure",
     "make_measurements",
     "print_points",
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -27,7 +27,7 @@
 
 def make_server(index: int, *models: str, **state) -> PlacedServer:
     variants = frozenset({"a/1"}) if "a" in models else frozenset()
-    state = {"parts": variants, **state}
+    state = {"variants": variants, **state}
     data_centre = DATA_CENTRES[index % 2]
     return PlacedServer(f"s{index}", data_centre, frozenset(models), **state)
 
@@ -42,7 +42,10 @@
         self.now = 0.0
 
     def run_round(self, demand: dict[str, float]) -> None:
-        """Distribute the demand, in servers, over the servers of each model."""
+        """Distribute the demand over the servers of each model.
+
+        The unit of the demand is the capacity of one server.
+        """
         servers = [self.load_server(item, demand) for item in self.servers.values()]
         self.placement = update_placement(
             self.placement, POOL, servers, policy=POLICY, now=self.now
@@ -67,7 +70,7 @@
         loaded = server.models if order.target is OrderTarget.MODEL else server.variants
         changed = {order.name}
         loaded = loaded | changed if order.kind is OrderKind.LOAD else loaded - changed
-        field = "models" if order.target is OrderTarget.MODEL else "parts"
+        field = "models" if order.target is OrderTarget.MODEL else "variants"
         self.servers[order.server] = server._replace(**{field: loaded})
         self.orders.append(order)
 
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -99,7 +99,7 @@
 
 
 def answer(request_id, body=b"ok", status=200, **headers) -> bytes:
-    """Return a complete response of a server, encoded."""
+    """Return an encoded, complete response of a server."""
     fields = {
         "X-Attempt-Id": request_id,
         "X-Server-Stamp": STAMP,
@@ -263,8 +263,10 @@
 
     Attributes
     ----------
-    refused, silent : set of str
-        Addresses that refuse connections, and addresses that do not respond.
+    refused : set of str
+        Addresses that refuse connections.
+    silent : set of str
+        Addresses at which connection attempts time out.
     connections : list of MemoryServerConnection
         Connections accepted by servers.
     """
