--- a/packages/decisions/src/ebonyhaven_decisions/_crashes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_crashes.py
@@ -19,8 +19,8 @@
 from typing import NamedTuple
 
 STRONG_PROGRESS_TOKENS = 32
-MAX_DEATHS = 2
-MAX_WEAK_DEATHS = 4
+MAX_CRASHES = 2
+MAX_WEAK_CRASHES = 4
 EVIDENCE_TTL_S = 600.0
 EVIDENCE_WAIT_S = 1.5
 MAX_CONTENTS = 4096
@@ -67,23 +67,26 @@
 
     Parameters
     ----------
-    max_deaths : int
+    max_crashes : int
         Number of deaths that stop a content if the last one is strong evidence.
-    max_weak_deaths : int
+    max_weak_crashes : int
         Number of deaths that stop a content in any case.
     """
 
     __slots__ = ("_evidence", "_max_deaths", "_max_weak_deaths", "_tokenless_deaths")
 
     def __init__(
-        self, *, max_deaths: int = MAX_DEATHS, max_weak_deaths: int = MAX_WEAK_DEATHS
+        self,
+        *,
+        max_crashes: int = MAX_CRASHES,
+        max_weak_crashes: int = MAX_WEAK_CRASHES,
     ) -> None:
-        self._max_deaths = max_deaths
-        self._max_weak_deaths = max_weak_deaths
+        self._max_deaths = max_crashes
+        self._max_weak_deaths = max_weak_crashes
         self._tokenless_deaths: dict[str, float] = {}
         self._evidence: dict[str, dict[str, CrashEvidence]] = {}
 
-    def record_death(
+    def record_crash(
         self, content: str, *, server: str, progress_tokens: int, now: float
     ) -> None:
         """Record the death of an engine that was running a content.
@@ -102,7 +105,7 @@
         is_strong = progress_tokens < STRONG_PROGRESS_TOKENS
         self._add(content, CrashEvidence(server, now, is_strong, progress_tokens == 0))
 
-    def judge(self, content: str, *, now: float) -> CrashVerdict:
+    def evaluate(self, content: str, *, now: float) -> CrashVerdict:
         """Decide whether a content may run again.
 
         Parameters
--- a/packages/decisions/src/ebonyhaven_decisions/_detection.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_detection.py
@@ -103,7 +103,7 @@
         if not heartbeat and not watch.expected:
             del self._watched[name]
 
-    def record_indirect_sign(self, name: str, now: float) -> None:
+    def record_indirect_confirmation(self, name: str, now: float) -> None:
         """Record that another instance confirmed an instance to be alive.
 
         Indirect signs don't count in `heard_recently`: two watchers could otherwise
--- a/packages/decisions/src/ebonyhaven_decisions/_limits.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_limits.py
@@ -104,7 +104,7 @@
         balance = self._read(class_name, workspace) + RETRIES_PER_REQUEST
         self._store(class_name, workspace, min(balance, MAX_BUDGETED_RETRIES))
 
-    def take_retry(self, class_name: str, workspace: str) -> bool:
+    def acquire_retry(self, class_name: str, workspace: str) -> bool:
         """Spend one retry if the budget allows it.
 
         Parameters
--- a/packages/decisions/src/ebonyhaven_decisions/_membership.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_membership.py
@@ -241,7 +241,7 @@
                 return self._answer_query(record, subject, now)
             case QueryAnswer(subject):
                 self.counts.indirect_signs += 1
-                self._detector.record_indirect_sign(subject, now)
+                self._detector.record_indirect_confirmation(subject, now)
             case TableRequest(record):
                 return [_make_envelope(record, TableAnswer(tuple(self.table)))]
             case TableAnswer():
--- a/packages/decisions/src/ebonyhaven_decisions/_scheduler.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_scheduler.py
@@ -150,7 +150,7 @@
         policy = self.dispatcher.policies.get(item.class_name)
         if policy is None:
             return self._admission.refuse(item, RefusalReason.UNKNOWN_CLASS, 0.0)
-        if not self.retry_budget.take_retry(item.class_name, item.workspace):
+        if not self.retry_budget.acquire_retry(item.class_name, item.workspace):
             return self._admission.refuse(
                 item, RefusalReason.RETRY_BUDGET, NO_SERVER_RETRY_AFTER_S
             )
--- a/packages/node/src/ebonyhaven_node/_content_guard.py
+++ b/packages/node/src/ebonyhaven_node/_content_guard.py
@@ -33,7 +33,7 @@
         self._crashes = crashes
         self._reactor = reactor
 
-    def record_death(self, server: BackendServer, *, progress_tokens: int) -> None:
+    def record_crash(self, server: BackendServer, *, progress_tokens: int) -> None:
         """Record the death of an engine that was executing the run.
 
         Parameters
@@ -42,13 +42,13 @@
         progress_tokens : int
             Tokens that the engine had generated for the run.
         """
-        self._crashes.record_death(
+        self._crashes.record_crash(
             self._content_digest, server=server, progress_tokens=progress_tokens
         )
 
     def is_suspect(self) -> bool:
         """Return whether an engine has died while it was running this content."""
-        return self._crashes.judge(self._content_digest) is not CrashVerdict.CLEAR
+        return self._crashes.evaluate(self._content_digest) is not CrashVerdict.CLEAR
 
     async def check(self, tag: OutcomeTag) -> None:
         """Wait until the evidence is conclusive; raise if the content must not run.
@@ -63,10 +63,10 @@
         RequestFailure
             If the content must not run again.
         """
-        verdict = self._crashes.judge(self._content_digest)
+        verdict = self._crashes.evaluate(self._content_digest)
         while verdict is CrashVerdict.UNDECIDED:
             await task.deferLater(self._reactor, EVIDENCE_POLL_INTERVAL_S)
-            verdict = self._crashes.judge(self._content_digest)
+            verdict = self._crashes.evaluate(self._content_digest)
         if verdict is CrashVerdict.STOPPED:
             reason = "backend servers crashed each time they ran this content"
             raise make_failure(tag, "crash_check", reason, status=422)
--- a/packages/node/src/ebonyhaven_node/_crash_reports.py
+++ b/packages/node/src/ebonyhaven_node/_crash_reports.py
@@ -50,7 +50,7 @@
         self._ledger = ledger
         self._table = GossipTable(ttl_s=EVIDENCE_TTL_S)
 
-    def record_death(
+    def record_crash(
         self, content: str, *, server: ServerProcess, progress_tokens: int
     ) -> None:
         """Record the death of an engine that was running the content.
@@ -66,7 +66,7 @@
         """
         process = _format_process_id(server)
         now = time.monotonic()
-        self._ledger.record_death(
+        self._ledger.record_crash(
             content, server=process, progress_tokens=progress_tokens, now=now
         )
         evidence = self._ledger.read_evidence()[content][process]
@@ -77,7 +77,7 @@
         )
         self._table.merge(entry, now)
 
-    def judge(self, content: str) -> CrashVerdict:
+    def evaluate(self, content: str) -> CrashVerdict:
         """Decide whether the content may run again.
 
         Parameters
@@ -89,7 +89,7 @@
         -------
         CrashVerdict
         """
-        return self._ledger.judge(content, now=time.monotonic())
+        return self._ledger.evaluate(content, now=time.monotonic())
 
     def make_digest(self) -> Digest:
         """Return the gossip digest of the evidence."""
--- a/packages/node/src/ebonyhaven_node/_drivers.py
+++ b/packages/node/src/ebonyhaven_node/_drivers.py
@@ -257,7 +257,7 @@
 
     def _record_death(self, server: BackendServer) -> None:
         progress = len(self._run.texts) - self._candidates.primary_first_offset
-        self._guard.record_death(server, progress_tokens=progress)
+        self._guard.record_crash(server, progress_tokens=progress)
 
     # -- continuation ------------------------------------------------------
 
@@ -380,7 +380,7 @@
         except EngineRefusal as error:
             if error.reason == CONNECTION_REFUSED:
                 progress = self._request.first_offset
-                self._guard.record_death(server, progress_tokens=progress)
+                self._guard.record_crash(server, progress_tokens=progress)
             await self._resume_from_received_tokens(excluded, OutcomeTag.FAILED, error)
         except EngineLost as error:
             await self._resume_from_received_tokens(excluded, OutcomeTag.UNKNOWN, error)
--- a/packages/node/src/ebonyhaven_node/_stream_opener.py
+++ b/packages/node/src/ebonyhaven_node/_stream_opener.py
@@ -161,11 +161,11 @@
             await self.probe(server, timeout_s=self.accept_timeout_s)
         except EngineRefusal as refusal:
             if refusal.reason == CONNECTION_REFUSED:
-                self._guard.record_death(server, progress_tokens=0)
+                self._guard.record_crash(server, progress_tokens=0)
             return False
         except EngineLost as lost:
             if lost.closed:
-                self._guard.record_death(server, progress_tokens=0)
+                self._guard.record_crash(server, progress_tokens=0)
             self.cancel_last_attempt(server)
             return False
         return True
--- a/packages/node/src/ebonyhaven_node/forwarding/_context.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_context.py
@@ -265,7 +265,7 @@
             backend.entry.data_centre, self.clock()
         )
         if suspects <= 1:
-            self.crashes.record_death(content, server=backend, progress_tokens=0)
+            self.crashes.record_crash(content, server=backend, progress_tokens=0)
 
     def probe(self, backend: Backend, inbox: Inbox) -> None:
         """Check whether a server accepts connections.
--- a/packages/node/src/ebonyhaven_node/forwarding/_filters.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_filters.py
@@ -200,7 +200,7 @@
         self, work: RequestContext, proceed: Proceed[RequestContext]
     ) -> None:
         """See `Filter.handle`."""
-        verdict = self._crashes.judge(work.request.content_digest)
+        verdict = self._crashes.evaluate(work.request.content_digest)
         if verdict is CrashVerdict.STOPPED:
             raise make_not_run_failure(
                 "servers died each time they began this content", step="crash"
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -159,8 +159,8 @@
         )
         self._crashes = CrashReports(
             CrashLedger(
-                max_deaths=MAX_DEATHS_PER_CONTENT,
-                max_weak_deaths=2 * MAX_DEATHS_PER_CONTENT,
+                max_crashes=MAX_DEATHS_PER_CONTENT,
+                max_weak_crashes=2 * MAX_DEATHS_PER_CONTENT,
             )
         )
         self._metrics = ForwardingMetrics(self.registry)
--- a/packages/node/src/ebonyhaven_node/forwarding/_streams.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_streams.py
@@ -197,7 +197,7 @@
     def _is_stopped_by_crashes(self) -> bool:
         if not self._may_have_run:
             return False
-        verdict = self._context.crashes.judge(self._request.content_digest)
+        verdict = self._context.crashes.evaluate(self._request.content_digest)
         return verdict is CrashVerdict.STOPPED
 
     def _give_up(self, now: float, reason: str) -> None:
--- a/tests/decisions/test_crashes.py
+++ b/tests/decisions/test_crashes.py
@@ -6,22 +6,22 @@
 
 
 def record(ledger, content, server, *, progress=0, now=0.0):
-    ledger.record_death(content, server=server, progress_tokens=progress, now=now)
+    ledger.record_crash(content, server=server, progress_tokens=progress, now=now)
 
 
 def test_content_is_stopped_after_two_engine_deaths():
     ledger = CrashLedger()
     record(ledger, "crashing", "s1")
-    assert ledger.judge("crashing", now=1.0) is CrashVerdict.SUSPECT
+    assert ledger.evaluate("crashing", now=1.0) is CrashVerdict.SUSPECT
     record(ledger, "crashing", "s2", now=1.0)
-    assert ledger.judge("crashing", now=2.0) is CrashVerdict.STOPPED
+    assert ledger.evaluate("crashing", now=2.0) is CrashVerdict.STOPPED
 
 
 def test_content_with_progress_before_each_death_is_not_stopped():
     ledger = CrashLedger()
     record(ledger, "other", "s1", progress=500)
     record(ledger, "other", "s2", progress=500, now=60.0)
-    assert ledger.judge("other", now=61.0) is CrashVerdict.SUSPECT
+    assert ledger.evaluate("other", now=61.0) is CrashVerdict.SUSPECT
 
 
 def test_content_that_shares_engines_with_the_crashing_one_is_not_stopped():
@@ -29,9 +29,9 @@
     record(ledger, "crashing", "s1")
     record(ledger, "other", "s1", progress=20)
     record(ledger, "other", "s2", progress=1, now=0.2)
-    assert ledger.judge("other", now=0.2) is CrashVerdict.SUSPECT
+    assert ledger.evaluate("other", now=0.2) is CrashVerdict.SUSPECT
     record(ledger, "crashing", "s2", now=0.2)
-    assert ledger.judge("crashing", now=0.2) is CrashVerdict.STOPPED
+    assert ledger.evaluate("crashing", now=0.2) is CrashVerdict.STOPPED
 
 
 def test_content_that_crashes_engines_after_some_tokens_is_stopped():
@@ -39,32 +39,34 @@
     record(ledger, "crashing", "s1", progress=100)
     record(ledger, "other", "s1", progress=50)
     record(ledger, "crashing", "s2", now=1.0)
-    assert ledger.judge("crashing", now=1.0) is CrashVerdict.UNDECIDED
-    assert ledger.judge("crashing", now=1.0 + EVIDENCE_WAIT_S) is CrashVerdict.STOPPED
+    assert ledger.evaluate("crashing", now=1.0) is CrashVerdict.UNDECIDED
+    assert (
+        ledger.evaluate("crashing", now=1.0 + EVIDENCE_WAIT_S) is CrashVerdict.STOPPED
+    )
 
 
 def test_late_evidence_turns_undecided_content_into_suspect():
     local, remote = CrashLedger(), CrashLedger()
     record(local, "other", "s1", progress=20)
     record(local, "other", "s2", now=0.2)
-    assert local.judge("other", now=0.3) is CrashVerdict.UNDECIDED
+    assert local.evaluate("other", now=0.3) is CrashVerdict.UNDECIDED
     record(remote, "crashing", "s1")
     local.merge(remote.export(now=0.5, limit=10), now=0.5)
-    assert local.judge("other", now=0.5) is CrashVerdict.SUSPECT
+    assert local.evaluate("other", now=0.5) is CrashVerdict.SUSPECT
 
 
 def test_one_death_reported_twice_counts_once():
     ledger = CrashLedger()
     record(ledger, "content", "s1")
     record(ledger, "content", "s1", now=0.5)
-    assert ledger.judge("content", now=1.0) is CrashVerdict.SUSPECT
+    assert ledger.evaluate("content", now=1.0) is CrashVerdict.SUSPECT
 
 
 def test_evidence_expires():
     ledger = CrashLedger()
     record(ledger, "crashing", "s1")
     record(ledger, "crashing", "s2")
-    assert ledger.judge("crashing", now=AFTER_TTL_S) is CrashVerdict.CLEAR
+    assert ledger.evaluate("crashing", now=AFTER_TTL_S) is CrashVerdict.CLEAR
 
 
 def test_evidence_of_two_instances_is_combined():
@@ -72,7 +74,7 @@
     record(local, "crashing", "s1", now=100.0)
     record(remote, "crashing", "s2", now=7.0)
     local.merge(remote.export(now=8.0, limit=10), now=101.0)
-    assert local.judge("crashing", now=102.0) is CrashVerdict.STOPPED
+    assert local.evaluate("crashing", now=102.0) is CrashVerdict.STOPPED
 
 
 def test_export_is_bounded_and_newest_first():
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -39,7 +39,7 @@
     budget = RetryBudget()
     for is_retry in events:
         if is_retry:
-            budget.take_retry("look-up", "studio-a")
+            budget.acquire_retry("look-up", "studio-a")
         else:
             budget.record_first_attempt("look-up", "studio-a")
     assert budget.retries <= 0.1 * budget.attempts + 1.0 + 1e-6
@@ -47,6 +47,6 @@
 
 def test_workspaces_have_separate_retry_budgets():
     budget = RetryBudget()
-    while budget.take_retry("look-up", "studio-a"):
+    while budget.acquire_retry("look-up", "studio-a"):
         pass
-    assert budget.take_retry("look-up", "studio-b")
+    assert budget.acquire_retry("look-up", "studio-b")
--- a/tests/node/test_crash_reports.py
+++ b/tests/node/test_crash_reports.py
@@ -18,18 +18,18 @@
 
 def test_death_reported_by_another_instance_stops_a_content():
     first, second = CrashReports(CrashLedger()), CrashReports(CrashLedger())
-    first.record_death(CONTENT, server=make_server("s1"), progress_tokens=0)
-    second.record_death(CONTENT, server=make_server("s2"), progress_tokens=0)
+    first.record_crash(CONTENT, server=make_server("s1"), progress_tokens=0)
+    second.record_crash(CONTENT, server=make_server("s2"), progress_tokens=0)
     outgoing = first.make_digest().collect(HEARTBEAT_BYTES)
     assert outgoing
     second.make_digest().merge("n1", json.loads(json.dumps(outgoing)))
-    assert second.judge(CONTENT) is CrashVerdict.STOPPED
-    assert first.judge(CONTENT) is CrashVerdict.SUSPECT
+    assert second.evaluate(CONTENT) is CrashVerdict.STOPPED
+    assert first.evaluate(CONTENT) is CrashVerdict.SUSPECT
 
 
 def test_death_recorded_by_two_instances_counts_once():
     first, second = CrashReports(CrashLedger()), CrashReports(CrashLedger())
     for reports in (first, second):
-        reports.record_death(CONTENT, server=make_server("s1"), progress_tokens=0)
+        reports.record_crash(CONTENT, server=make_server("s1"), progress_tokens=0)
     second.make_digest().merge("n1", first.make_digest().collect(HEARTBEAT_BYTES))
-    assert second.judge(CONTENT) is CrashVerdict.SUSPECT
+    assert second.evaluate(CONTENT) is CrashVerdict.SUSPECT
