--- a/packages/decisions/src/ebonyhaven_decisions/_admission.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_admission.py
@@ -44,9 +44,9 @@
     Parameters
     ----------
     completions_per_s : float
-        Requests per second that complete and leave their slot to the class.
+        Completed requests per second whose slots become available to the class.
     mean_cost : float
-        Mean service of a request, decode tokens.
+        Mean service of a request as computed by `compute_cost`, decode tokens.
     pace_ms : float
         Gap between tokens, milliseconds.
     prefill_tokens_per_s : float
@@ -157,7 +157,7 @@
             return self.refuse(item, RefusalReason.LATE_FIRST_TOKEN, late_s)
         if now + forecast.completion_s > item.deadline:
             late_s = now + forecast.completion_s - item.deadline
-            return self.refuse(item, RefusalReason.LATE_END, late_s)
+            return self.refuse(item, RefusalReason.LATE_COMPLETION, late_s)
         return None
 
     def refuse(self, item: WorkItem, reason: RefusalReason, wait_s: float) -> Refusal:
--- a/packages/decisions/src/ebonyhaven_decisions/_claims.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_claims.py
@@ -1,13 +1,13 @@
 """Claims: at-most-once dispatch of requests that are not repeatable.
 
 A claim is a row of the platform's table. Its insertion is confirmed before the
-request is dispatched. Only the incarnation that inserted a claim makes the first
-dispatch, only before the deadline to start the request, and only if its process
-was not paused since it sent the write.
+request is dispatched. Only the incarnation that inserted a claim may dispatch the
+request for the first time, only before the deadline to start it, and only if its
+process was not paused since it sent the write.
 
 Another instance never takes over the first dispatch: it attaches to the run or
-answers ``unknown``. Only a continuation may take over a claim. It increments the
-epoch of the row, which is the fencing number of the new attempt.
+reports the outcome ``unknown``. Only a continuation may take over a claim. It
+increments the epoch of the row, which is the fencing number of the new attempt.
 """
 
 from __future__ import annotations
@@ -70,14 +70,14 @@
     Parameters
     ----------
     row : ClaimRow
-        The row as read or as confirmed.
+        The row as read from the table, or as written by a confirmed insertion.
     claimant : Claimant
         This process.
     digest : str
         Digest of the request that is being submitted.
     inserted_by_submission : bool
         Whether this submission of the request inserted the row. If the confirmation
-        was lost, the row that is read back shows it.
+        was lost, this is determined by reading the row back.
 
     Returns
     -------
--- a/packages/decisions/src/ebonyhaven_decisions/_configuration_entries.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_configuration_entries.py
@@ -161,7 +161,7 @@
     now: float,
     declaration: Mapping[str, Any],
 ) -> AcceptanceTransaction:
-    """Return the transaction that accepts a declaration on top of ``current``.
+    """Return the transaction that accepts a declaration as successor of ``current``.
 
     Parameters
     ----------
--- a/packages/decisions/src/ebonyhaven_decisions/_crashes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_crashes.py
@@ -1,15 +1,15 @@
 """Detection of request contents that crash engines.
 
-A dying engine fails its whole batch, so a single death does not identify the
+A crash fails the whole batch of an engine, so a single crash does not identify the
 content that caused it. Evidence is recorded by request content, so that it also
-applies to a resubmission under a new idempotency key. A death is *strong* evidence
+applies to a resubmission under a new idempotency key. A crash is *strong* evidence
 if the attempt had made little progress: a content that crashes engines does so again
 soon after it is continued, while other contents of the batch make progress on their
 next engine.
 
-A content that is continued on the same engine as the crashing one fails there early
-as well. The previous death distinguishes the two: if some content had produced no
-token at a death, that death does not count against contents that had.
+A harmless content that is continued on the same engine as the crashing one also
+fails early. A crash is therefore not counted against contents that had produced
+tokens if another content in the batch had produced none.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 EVIDENCE_TTL_S = 600.0
 EVIDENCE_WAIT_S = 1.5
 MAX_CONTENTS = 4096
-SAME_DEATH_WINDOW_S = 30.0
+SAME_CRASH_WINDOW_S = 30.0  # reports of a server in this time mean one crash
 
 
 class CrashVerdict(enum.Enum):
     """Decision about a request content.
 
-    ``UNDECIDED`` lasts for up to `EVIDENCE_WAIT_S` after the last death if the content
-    had produced tokens at one of the deaths that count: another instance may yet
-    report that a content without any token was affected by the same death.
+    ``UNDECIDED`` lasts for up to `EVIDENCE_WAIT_S` after the last crash if the content
+    had produced tokens at one of the counted crashes: until then, another instance
+    may report that the same crash affected a content without any token.
     """
 
     CLEAR = "clear"
@@ -42,14 +42,14 @@
 
 
 class CrashEvidence(NamedTuple):
-    """Death of an engine that was running a content.
+    """Crash of an engine that was running a content.
 
     Parameters
     ----------
     server : str
-        Backend server that died.
+        Backend server that crashed.
     at : float
-        Time of the death on the clock of this instance, seconds.
+        Time of the crash on the clock of this instance, seconds.
     is_strong : bool
         Whether the attempt had made little progress.
     is_tokenless : bool
@@ -63,17 +63,18 @@
 
 
 class CrashLedger:
-    """Evidence by request content, bounded in size and age.
+    """Evidence by request content, limited by age and number of contents.
 
     Parameters
     ----------
     max_crashes : int
-        Number of deaths that stop a content if the last one is strong evidence.
+        Number of counted crashes that block a content if the last one is strong
+        evidence.
     max_weak_crashes : int
-        Number of deaths that stop a content in any case.
+        Number of crashes that block a content in any case.
     """
 
-    __slots__ = ("_evidence", "_max_deaths", "_max_weak_deaths", "_tokenless_deaths")
+    __slots__ = ("_evidence", "_max_crashes", "_max_weak_crashes", "_tokenless_crashes")
 
     def __init__(
         self,
@@ -81,22 +82,22 @@
         max_crashes: int = MAX_CRASHES,
         max_weak_crashes: int = MAX_WEAK_CRASHES,
     ) -> None:
-        self._max_deaths = max_crashes
-        self._max_weak_deaths = max_weak_crashes
-        self._tokenless_deaths: dict[str, float] = {}
+        self._max_crashes = max_crashes
+        self._max_weak_crashes = max_weak_crashes
+        self._tokenless_crashes: dict[str, float] = {}
         self._evidence: dict[str, dict[str, CrashEvidence]] = {}
 
     def record_crash(
         self, content: str, *, server: str, progress_tokens: int, now: float
     ) -> None:
-        """Record the death of an engine that was running a content.
+        """Record the crash of an engine that was running a content.
 
         Parameters
         ----------
         content : str
             Digest of the request content.
         server : str
-            Backend server that died.
+            Backend server that crashed.
         progress_tokens : int
             Tokens that the attempt had produced on that server.
         now : float
@@ -128,12 +129,12 @@
             return CrashVerdict.CLEAR
         last = max(evidence, key=lambda item: item.at)
         counted = [item for item in evidence if self._is_counted(item)]
-        if len(counted) >= self._max_deaths and last.is_strong:
+        if len(counted) >= self._max_crashes and last.is_strong:
             is_certain = all(item.is_tokenless for item in counted)
             if is_certain or now - last.at >= EVIDENCE_WAIT_S:
                 return CrashVerdict.STOPPED
             return CrashVerdict.UNDECIDED
-        if len(evidence) >= self._max_weak_deaths:
+        if len(evidence) >= self._max_weak_crashes:
             return CrashVerdict.STOPPED
         return CrashVerdict.SUSPECT
 
@@ -143,7 +144,7 @@
         Parameters
         ----------
         now : float
-            Present time, seconds; ``at`` in the result is an age instead.
+            Present time, seconds.
         limit : int
             Maximum number of entries.
 
@@ -181,19 +182,19 @@
         return self._evidence
 
     def _is_counted(self, item: CrashEvidence) -> bool:
-        """Return whether no other content is more likely to have caused a death."""
+        """Return False if the content had tokens and another in the batch had none."""
         if item.is_tokenless:
             return True
-        tokenless_at = self._tokenless_deaths.get(item.server)
-        return tokenless_at is None or abs(item.at - tokenless_at) > SAME_DEATH_WINDOW_S
+        tokenless_at = self._tokenless_crashes.get(item.server)
+        return tokenless_at is None or abs(item.at - tokenless_at) > SAME_CRASH_WINDOW_S
 
     def _add(self, content: str, item: CrashEvidence) -> None:
-        """Keep the first report of each death and evict the oldest content."""
+        """Store the first report of each crash; evict the oldest content if full."""
         if item.is_tokenless:
-            self._tokenless_deaths.pop(item.server, None)
-            self._tokenless_deaths[item.server] = item.at
-        if len(self._tokenless_deaths) > MAX_CONTENTS:
-            self._tokenless_deaths.pop(next(iter(self._tokenless_deaths)))
+            self._tokenless_crashes.pop(item.server, None)
+            self._tokenless_crashes[item.server] = item.at
+        if len(self._tokenless_crashes) > MAX_CONTENTS:
+            self._tokenless_crashes.pop(next(iter(self._tokenless_crashes)))
         items = self._evidence.setdefault(content, {})
         known = items.get(item.server)
         if known is None or item.at - known.at > EVIDENCE_TTL_S:
--- a/packages/decisions/src/ebonyhaven_decisions/_declarations.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_declarations.py
@@ -34,8 +34,8 @@
     gap_ms : float
         Target for the time between two tokens, in milliseconds.
     resume_ms : float
-        Target for the pause of a stream from the loss of its backend server until
-        the first token from another one, in milliseconds.
+        Target for the time from the loss of the backend server of a stream until the
+        first token from another one, in milliseconds.
     may_wait_ms : float
         Longest time that a request may be queued, in milliseconds.
     default : bool
--- a/packages/decisions/src/ebonyhaven_decisions/_detection.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_detection.py
@@ -42,7 +42,8 @@
     Parameters
     ----------
     silence_timeout_s : float
-        Seconds without a sign of life after which an instance counts as silent.
+        Seconds without a message or an indirect confirmation after which an
+        instance counts as silent.
     confirmation_timeout_s : float
         Seconds that a probe or query may take to confirm that it is alive.
     """
@@ -90,7 +91,8 @@
         now : float
             Current time in seconds.
         heartbeat : bool
-            Whether it was a heartbeat; its sender is watched from now on.
+            Whether it was a heartbeat. Its sender is watched from now on; any other
+            message ends the watch of an instance whose heartbeats are not expected.
         """
         watch = self._watched.get(name)
         if watch is None:
@@ -106,8 +108,8 @@
     def record_indirect_confirmation(self, name: str, now: float) -> None:
         """Record that another instance confirmed an instance to be alive.
 
-        Indirect signs don't count in `heard_recently`: two watchers could otherwise
-        confirm a dead instance to each other forever.
+        Indirect confirmations don't count in `heard_recently`: two watchers could
+        otherwise confirm a dead instance to each other forever.
 
         Parameters
         ----------
--- a/packages/decisions/src/ebonyhaven_decisions/_discovery.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_discovery.py
@@ -1,4 +1,4 @@
-"""Joining the cluster and contacting listed or dead instances again."""
+"""Joining the cluster, and probing of dead or unknown listed instances."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
     Until the first member table arrives, it is requested from a few listed
     instances. From then on, one instance at a time that is dead, or listed but
-    unknown, is probed, so that the two sides of a partition find each other again.
-    The first ``FAST_ATTEMPTS`` attempts after a start or a change of the list
-    follow each other faster.
+    unknown, is probed, so that the two sides of a partition reconnect.
+    The first ``FAST_ATTEMPTS`` attempts after a start or a change of the list are
+    made every ``FAST_INTERVAL_S`` seconds, later ones every ``CONTACT_INTERVAL_S``.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
     Attributes
     ----------
     joined : bool
-        Whether a member table arrived; set by the owner.
+        Whether a member table arrived; set by `Membership`.
     """
 
     __slots__ = ("_attempts", "_listed", "_name", "_next_at", "_rng", "joined")
--- a/packages/decisions/src/ebonyhaven_decisions/_dissemination.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_dissemination.py
@@ -17,7 +17,7 @@
     """Builds the heartbeats of one instance.
 
     Changed member records and load reports are queued for each neighbour and
-    piggybacked on the heartbeats that it gets.
+    piggybacked on the heartbeats sent to it.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
     Attributes
     ----------
     targets : tuple of str
-        Names of the neighbours, which get heartbeats from this instance.
+        Names of the neighbours, which receive heartbeats from this instance.
     """
 
     __slots__ = (
@@ -65,7 +65,7 @@
         ----------
         name : str
         received_from : str
-            Neighbour that sent it; empty if this instance made it.
+            Neighbour that sent it; empty if it originates from this instance.
         """
         self._update_queues.add(name, received_from=received_from)
 
@@ -76,7 +76,7 @@
         ----------
         name : str
         received_from : str
-            Neighbour that sent it; empty if this instance made it.
+            Neighbour that sent it; empty if it originates from this instance.
         """
         self._load_queues.add(name, received_from=received_from)
 
@@ -102,7 +102,7 @@
         return self._rings.sources(self._name)
 
     def watchers(self, name: str) -> list[str]:
-        """Return the other instances that get heartbeats from an instance.
+        """Return the other instances that receive heartbeats from an instance.
 
         Parameters
         ----------
--- a/packages/decisions/src/ebonyhaven_decisions/_entries.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_entries.py
@@ -37,7 +37,7 @@
 
     @property
     def overloaded(self) -> bool:
-        """Whether it is ranked after all instances that are not overloaded."""
+        """Whether the load is at least `OVERLOAD_TENTHS` tenths of the capacity."""
         return self.load * 10 >= OVERLOAD_TENTHS
 
     def describe(self) -> dict[str, Any]:
@@ -106,9 +106,10 @@
 ) -> EntryList:
     """Choose the entry points of a caller.
 
-    Instances that are not overloaded come first, then the near ones. Among equals
-    the order is random, weighted by free capacity: reported loads lag, and callers
-    that cache their lists still spread over all instances.
+    Overloaded instances come last. Otherwise the order is by distance: same data
+    centre, same region, other regions. At equal distance it is random, weighted by
+    free capacity, so that callers spread over all instances although load reports are
+    delayed and callers cache their lists.
 
     Parameters
     ----------
--- a/packages/decisions/src/ebonyhaven_decisions/_event_ids.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_event_ids.py
@@ -1,7 +1,7 @@
 """Event ids: position of a token in a generation and the server that produced it.
 
-A caller resumes a stream by returning the id of the last event that it received.
-The id identifies the run and the position, so instances keep no state per caller.
+A caller resumes a stream by sending the id of the last event that it received. The
+id identifies the run and the position, so instances store no state for callers.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def parse_event_id(text: str) -> EventId:
-    """Parse the event id that a caller returned.
+    """Parse the event id that a caller sent.
 
     Parameters
     ----------
--- a/packages/decisions/src/ebonyhaven_decisions/_gossip.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_gossip.py
@@ -34,7 +34,7 @@
 
 
 class GossipTable:
-    """Newest entry of each key, sent in messages of bounded size.
+    """Newest entry of each key, sent in messages with a limited number of bytes.
 
     A new entry is sent ``transmissions`` times, with priority over older entries.
     The remaining space of a message repeats the older entries in rotation.
--- a/packages/decisions/src/ebonyhaven_decisions/_in_flight.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_in_flight.py
@@ -51,7 +51,7 @@
 
 @attrs.define(slots=True)
 class _ClassTotals:
-    """Running count and averages of one class.
+    """Number of requests in flight and averages of one class.
 
     Parameters
     ----------
@@ -136,7 +136,7 @@
         """
         self._in_flight[request.item.item_id] = request
         request.server.record_dispatch(request.prefill_tokens, now)
-        totals = self._read(request.item.class_name)
+        totals = self._get_totals(request.item.class_name)
         totals.change_running(1, now)
         self._workspaces[request.item.class_name, request.item.workspace] += 1
         if totals.mean_cost <= 0.0:
@@ -167,7 +167,7 @@
         request.server.record_end(now)
         if not request.has_first_token:
             request.server.release_prefill_tokens(request.prefill_tokens)
-        self._read(request.item.class_name).change_running(-1, now)
+        self._get_totals(request.item.class_name).change_running(-1, now)
         key = (request.item.class_name, request.item.workspace)
         self._workspaces[key] -= 1
         if not self._workspaces[key]:
@@ -175,39 +175,41 @@
         return request
 
     def record_output_length(self, request: InFlightRequest) -> None:
-        """Update the mean output length of the class from a completed request.
+        """Update the mean output share of the class with a completed request.
 
         Parameters
         ----------
         request : InFlightRequest
             A request whose output is complete.
         """
-        totals = self._read(request.item.class_name)
+        totals = self._get_totals(request.item.class_name)
         share = min(request.decoded_tokens / max(request.item.max_tokens, 1), 1.0)
         totals.output_share += ESTIMATE_SMOOTHING_FACTOR * (share - totals.output_share)
 
     def estimate_output_tokens(self, item: WorkItem) -> float:
         """Return the expected length of the output in tokens, at least 1."""
-        return max(item.max_tokens * self._read(item.class_name).output_share, 1.0)
+        return max(
+            item.max_tokens * self._get_totals(item.class_name).output_share, 1.0
+        )
 
     def read_mean_cost(self, class_name: str) -> float:
         """Return the mean service of a request of a class, decode tokens."""
-        return self._read(class_name).mean_cost
+        return self._get_totals(class_name).mean_cost
 
     def estimate_completions_per_s(self, class_names: Iterable[str]) -> float:
         """Return the expected completions per second of some classes."""
-        completions_per_token = 0.0
+        completions_per_step = 0.0
         for name in class_names:
-            totals = self._read(name)
-            completions_per_token += totals.running / max(totals.mean_cost, 1.0)
-        return completions_per_token * 1000.0 / self.pace_ms
+            totals = self._get_totals(name)
+            completions_per_step += totals.running / max(totals.mean_cost, 1.0)
+        return completions_per_step * 1000.0 / self.pace_ms
 
     def estimate_workspace_completions_per_s(
         self, class_name: str, workspace: str
     ) -> float:
         """Return the expected completions per second of a workspace in a class."""
         count = self._workspaces[class_name, workspace]
-        mean_cost = max(self._read(class_name).mean_cost, 1.0)
+        mean_cost = max(self._get_totals(class_name).mean_cost, 1.0)
         return count * 1000.0 / self.pace_ms / mean_cost
 
     def read_demand(self, class_name: str, now: float) -> float:
@@ -219,9 +221,9 @@
         now : float
             Seconds.
         """
-        return self._read(class_name).read_demand(now)
+        return self._get_totals(class_name).read_demand(now)
 
-    def _read(self, class_name: str) -> _ClassTotals:
+    def _get_totals(self, class_name: str) -> _ClassTotals:
         totals = self._classes.get(class_name)
         if totals is None:
             totals = self._classes[class_name] = _ClassTotals()
--- a/packages/decisions/src/ebonyhaven_decisions/_isolation.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_isolation.py
@@ -11,7 +11,7 @@
 
 
 class IsolationProber:
-    """Finds out which instances answer probes while this instance is isolated.
+    """Determines which instances answer probes while this instance is isolated.
 
     The silence that an isolated instance observes may be caused by its own network,
     so it suspects no other instance. Instead it probes each of them once and records
--- a/packages/decisions/src/ebonyhaven_decisions/_leases.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_leases.py
@@ -63,7 +63,7 @@
         Fencing number, incremented by each acquisition.
     expires_at_ms : float
         Unix time of the expiry in milliseconds, by the wall clock of the holder.
-        Informative only: no decision depends on it.
+        Informational; no decision depends on it.
     """
 
     holder: str
@@ -105,7 +105,7 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class LeaseView:
-    """What one instance knows of a lease.
+    """State of a lease as known to one instance.
 
     Parameters
     ----------
@@ -157,7 +157,7 @@
     Parameters
     ----------
     view : LeaseView
-        What this instance knows of the lease.
+        State of the lease as known to this instance.
     timing : LeaseTiming
         Durations of the lease.
     now : float
@@ -184,7 +184,7 @@
     Parameters
     ----------
     view : LeaseView
-        What this instance knows of the lease.
+        State of the lease as known to this instance.
     action : LeaseAction
         ``ACQUIRE`` or ``RENEW``.
     timing : LeaseTiming
@@ -276,7 +276,7 @@
     Parameters
     ----------
     view : LeaseView
-        What this instance knows of the lease.
+        State of the lease as known to this instance.
     now : float
         Monotonic time in seconds, read immediately before sending.
     longest_pause_s : float
--- a/packages/decisions/src/ebonyhaven_decisions/_limits.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_limits.py
@@ -16,16 +16,16 @@
 MAX_BUDGETED_RETRIES = 5.0
 INITIAL_BUDGETED_RETRIES = 1.0
 RETRY_COST = 1.0
-MAX_RETRY_BUDGETS = 4096
+MAX_RETRY_BUDGETS = 4096  # the least recently used budget is evicted
 
 
 @attrs.define(slots=True, kw_only=True)
 class ConcurrencyLimit:
     """Largest number of sequences at which a backend server meets the gap target.
 
-    The limit follows the observed pace. While the batch is busy, it moves towards
+    The limit follows the observed pace. While the batch is busy, it approaches
     the number of sequences whose pace would equal the target. While the pace
-    exceeds the target, it decreases, however full the batch is.
+    exceeds the target, it decreases even if the batch is not busy.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
     """
 
     slots: float = INITIAL_SLOTS
-    _has_capacity: bool = attrs.field(default=False, init=False)
+    _is_capacity_reported: bool = attrs.field(default=False, init=False)
 
     def record_capacity(self, capacity: int) -> None:
         """Apply the capacity that the server reports.
@@ -44,8 +44,8 @@
         capacity : int
             Sequences that the server runs at most.
         """
-        if not self._has_capacity:
-            self._has_capacity = True
+        if not self._is_capacity_reported:
+            self._is_capacity_reported = True
             self.slots = max(MIN_SLOTS, float(capacity))
         self.slots = min(self.slots, float(capacity))
 
--- a/packages/decisions/src/ebonyhaven_decisions/_listing.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_listing.py
@@ -60,7 +60,7 @@
         Parameters
         ----------
         wall_s : float
-            Wall clock in seconds.
+            Unix time in seconds.
 
         Returns
         -------
@@ -77,7 +77,7 @@
         return entry is None or entry.value == self._digest
 
     def is_complete(self) -> bool:
-        """Return whether this is the complete list and not just some of its entries.
+        """Return whether the entries of all listed processes are known.
 
         It is complete once this instance has read the list itself, and while the
         entries received from others match the digest of the last known read.
@@ -131,7 +131,7 @@
         now : float
             Current time in seconds.
         wall_s : float
-            Wall clock in seconds.
+            Unix time in seconds.
         publish : bool
             Whether to gossip the time and digest of this read to other instances.
 
--- a/packages/decisions/src/ebonyhaven_decisions/_listing_schedule.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_listing_schedule.py
@@ -14,7 +14,7 @@
 ROTATION_PERIOD_S = 60.0
 REPAIR_INTERVAL_PER_INSTANCE_S = 2.0
 MAX_READ_AGE_S = 25.0
-FALLBACK_READERS = 4
+FALLBACK_READERS = 4  # expected number at each poll
 
 
 def _hash_rank(name: str, rotation: int) -> bytes:
@@ -44,7 +44,7 @@
     live : collection of str
         Names of the live instances.
     wall_s : float
-        Wall clock in seconds.
+        Unix time in seconds.
 
     Returns
     -------
@@ -64,8 +64,10 @@
     """Decides when this instance reads the platform's list.
 
     In a small cluster every instance reads at each poll. In a larger one a few
-    readers, chosen in rotation, read often. The others read rarely, to repair missed
-    updates, and take over at random when the last known read is too old.
+    readers, chosen in rotation, read every ``READER_INTERVAL_S`` seconds. The others
+    read at an interval proportional to the number of instances, to repair missed
+    updates. When the last known read is older than ``MAX_READ_AGE_S``, each of them
+    reads at random; ``FALLBACK_READERS`` of them are expected to read at each poll.
 
     Parameters
     ----------
@@ -93,7 +95,7 @@
         now : float
             Current time in seconds.
         wall_s : float
-            Wall clock in seconds.
+            Unix time in seconds.
         age_s : float
             Seconds since the last known read by any instance.
 
@@ -110,6 +112,7 @@
         return self._try_start_interval(now, REPAIR_INTERVAL_PER_INSTANCE_S * len(live))
 
     def _try_start_interval(self, now: float, interval_s: float) -> bool:
+        # The interval became shorter, for example because of a rotation.
         if self._next_at > now + interval_s:
             self._next_at = now
         if now < self._next_at:
--- a/packages/decisions/src/ebonyhaven_decisions/_load_digests.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_load_digests.py
@@ -22,12 +22,15 @@
     sequences : int
         Sequences in the batch and in the queue of the server.
     capacity : int
+        Maximum number of sequences in the batch.
     pace_ms : float
         Gap between tokens, milliseconds.
     age_s : float
         Age of the measurement, or of the last failure of a suspect server, seconds.
     is_leaving : bool
+        Whether the server accepts no new work.
     is_suspect : bool
+        Whether new work is withheld after a recent failure.
     """
 
     server: str
@@ -42,7 +45,7 @@
 def build_load_digest(
     table: ServerTable, now: float, random_source: random.Random
 ) -> list[LoadEntry]:
-    """Return the digest of the servers with current information.
+    """Return the digest of the suspect servers and those with a recent report.
 
     Parameters
     ----------
@@ -58,12 +61,16 @@
         At most `MAX_LOAD_ENTRIES`, starting with leaving and suspect servers.
     """
     fresh = [state for state in table if _is_current(state, now)]
-    urgent = [state for state in fresh if state.is_leaving or state.is_suspect(now)]
-    others = [state for state in fresh if state not in urgent]
-    count = max(MAX_LOAD_ENTRIES - len(urgent), 0)
+    unavailable = [
+        state for state in fresh if state.is_leaving or state.is_suspect(now)
+    ]
+    others = [state for state in fresh if state not in unavailable]
+    count = max(MAX_LOAD_ENTRIES - len(unavailable), 0)
     if len(others) > count:
         others = random_source.sample(others, count)
-    return [_build_entry(state, now) for state in (urgent + others)[:MAX_LOAD_ENTRIES]]
+    return [
+        _build_entry(state, now) for state in (unavailable + others)[:MAX_LOAD_ENTRIES]
+    ]
 
 
 def merge_load_digest(
--- a/packages/decisions/src/ebonyhaven_decisions/_members.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_members.py
@@ -69,8 +69,8 @@
 class MemberTable:
     """Newest record of each known instance.
 
-    A record is only ever replaced by a newer one; the record of an instance that
-    has been dead for long is removed.
+    A record is only replaced by a newer one. `Membership` removes the records of
+    unlisted instances that have been dead for ``DEAD_RETENTION_S`` seconds.
     """
 
     __slots__ = ("_changed_at", "_digest", "_records", "_version")
--- a/packages/decisions/src/ebonyhaven_decisions/_membership.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_membership.py
@@ -65,7 +65,7 @@
 
     @property
     def targets(self) -> tuple[str, ...]:
-        """Names of the neighbours, which get heartbeats from this instance."""
+        """Names of the neighbours, which receive heartbeats from this instance."""
         return self._dissemination.targets
 
     @property
@@ -143,7 +143,7 @@
         ]
 
     def tick(self, now: float) -> list[Envelope]:
-        """Run all periodic work that is due.
+        """Check the timeouts, expire records and return the messages that are due.
 
         Parameters
         ----------
@@ -265,7 +265,7 @@
     def _notify_outdated_sender(
         self, name: str, incarnation: int, now: float
     ) -> list[Envelope]:
-        """Send a suspect, dead or outdated sender its record, so that it refutes it."""
+        """Send a suspect, dead or outdated sender its record, which it then refutes."""
         known = self.table.get(name)
         if known is None or known.incarnation < incarnation:
             return []
--- a/packages/decisions/src/ebonyhaven_decisions/_membership_messages.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_membership_messages.py
@@ -50,7 +50,7 @@
 
 
 class Probe(NamedTuple):
-    """Request for a `ProbeAnswer`, to learn whether the receiver is alive.
+    """Request for a `ProbeAnswer`, which shows that the receiver is alive.
 
     Parameters
     ----------
@@ -89,7 +89,7 @@
 
 
 class QueryAnswer(NamedTuple):
-    """Confirmation that the sender got a message from an instance recently.
+    """Confirmation that the sender received a message from an instance recently.
 
     Parameters
     ----------
@@ -139,8 +139,8 @@
         Control address of the receiver.
     message : MembershipMessage
     new_connection : bool
-        Whether to send the message over a new connection, because the present one
-        may be broken without an error.
+        Whether to send the message over a new connection, because the existing one
+        may have failed without an error.
     """
 
     name: str
--- a/packages/decisions/src/ebonyhaven_decisions/_policies.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_policies.py
@@ -19,8 +19,7 @@
     Parameters
     ----------
     first_token_ms : float
-        Time to the first token, counted from the arrival or from the end of the
-        allowed wait.
+        Time to the first token, before `may_wait_ms` is added.
     gap_ms : float
         Time between two consecutive tokens.
     resume_ms : float
@@ -55,8 +54,8 @@
     gap_limit_ms : float
         Gap between tokens beyond which a batch must not grow, milliseconds.
     reserved_share : float
-        Largest share of the slots that may be reserved for this class against
-        less urgent ones.
+        Largest share of the slots that may be reserved for this class and withheld
+        from less urgent ones.
     resume_limit_s : float
         Longest pause of a stream after the loss of its backend server, seconds.
     """
--- a/packages/decisions/src/ebonyhaven_decisions/_queueing.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_queueing.py
@@ -135,9 +135,9 @@
     costs : dict of str to float
         Queued service of each workspace, decode tokens.
     heap : list of tuple
-        Workspaces by consumption at the time of the push, which may be outdated.
+        Workspaces by usage at the time of the push, which may be outdated.
     rebases : int
-        Rebases of the ledger when the heap was built.
+        Value of `UsageLedger.rebases` when the heap was built.
     """
 
     __slots__ = ("costs", "heap", "queues", "rebases")
@@ -150,16 +150,16 @@
 
 
 class FairQueue(WorkQueue):
-    """Serves classes by urgency, and in each class the workspace that consumed least.
+    """Serves classes by urgency, and in each class the workspace with the least usage.
 
-    A class that consumed more than an equal share of the instance is served after
+    A class that used more than an equal share of the instance is served after
     the other classes that have waiting requests.
 
     Parameters
     ----------
     policies : mapping of str to ClassPolicy
     ledger : UsageLedger
-        Consumption of the workspaces; the queue only reads it.
+        Usage of the workspaces; the queue only reads it.
     """
 
     def __init__(
@@ -232,7 +232,7 @@
     def estimate_tokens_ahead(self, item: WorkItem, cost: float, now: float) -> float:
         """Estimate the service before a request; see `WorkQueue`.
 
-        Another workspace is served first while its consumption is below the one
+        Another workspace is served first while its usage is below the one
         that the workspace of the request reaches with its backlog and the request.
         With more than `MAX_SAMPLED_WORKSPACES` workspaces, the sum is extrapolated
         from a sample.
@@ -284,6 +284,7 @@
         return queued
 
     def _find_least_served(self, subqueue: _Subqueue, key: SubqueueKey) -> str | None:
+        # A rebase changes the scale of the entries; a long heap is mostly outdated.
         if subqueue.rebases != self._ledger.rebases or len(subqueue.heap) > 4 * (
             len(subqueue.queues) + 16
         ):
--- a/packages/decisions/src/ebonyhaven_decisions/_reconciliation.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_reconciliation.py
@@ -23,6 +23,8 @@
     ) -> bool:
         """Return whether to request the table of a peer whose digest differs.
 
+        A true result counts as a request for the rate limit.
+
         Parameters
         ----------
         sender : str
@@ -49,6 +51,8 @@
     def allow_new_peer_request(self, now: float) -> bool:
         """Return whether to request the table of a peer that was unknown or dead.
 
+        A true result counts as a request for the rate limit.
+
         Parameters
         ----------
         now : float
@@ -61,7 +65,9 @@
         return self._allow_request(now, NEW_PEER_REQUEST_INTERVAL_S)
 
     def allow_notice(self, name: str, now: float) -> bool:
-        """Return whether a peer may be sent its own record again.
+        """Return whether a peer may be sent a notice with its own record.
+
+        A true result counts as a notice for the rate limit.
 
         Parameters
         ----------
--- a/packages/decisions/src/ebonyhaven_decisions/_reservations.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_reservations.py
@@ -12,7 +12,7 @@
 from ebonyhaven_decisions._server_table import ServerTable
 from ebonyhaven_decisions._servers import ServerState
 
-DEMAND_MARGIN_DEVIATIONS = 2.0
+DEMAND_MARGIN_DEVIATIONS = 2.0  # standard deviations of a Poisson distribution
 MIN_DEMAND_REQUESTS = 0.05
 DEDICATED_FILL_SHARE = 0.65
 MIN_SERVERS_TO_DEDICATE = 8
@@ -44,7 +44,7 @@
 class Reservations:
     """Computes reservations from the recent demand of the urgent classes.
 
-    A model with at least `MIN_SERVERS_TO_DEDICATE` servers gets dedicated servers,
+    A model with at least `MIN_SERVERS_TO_DEDICATE` servers is assigned dedicated ones,
     because a small batch steps faster than an almost full one. All instances
     dedicate the same servers, the first ones in a common order. With fewer servers,
     a share of the slots of each one is reserved.
--- a/packages/decisions/src/ebonyhaven_decisions/_rings.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_rings.py
@@ -20,7 +20,7 @@
     Every instance has one target on each of ``neighbour_count`` rings. Each ring is
     ordered by a different hash of the names, so the targets form a random graph of
     constant out-degree. On every second ring the target is in another data centre
-    if there is one, so that the loss of a data centre leaves its instances watched.
+    if there is one, so that the loss of a whole data centre is detected.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
             )
 
     def targets(self, name: str) -> tuple[str, ...]:
-        """Return the instances that get heartbeats from an instance.
+        """Return the instances that receive heartbeats from an instance.
 
         Parameters
         ----------
--- a/packages/decisions/src/ebonyhaven_decisions/_routing.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_routing.py
@@ -25,7 +25,7 @@
 PREFIX_TTL_S = 300.0
 REMOTE_DATA_CENTRE_DELAY_S = 0.003
 REMOTE_REGION_DELAY_S = 0.1
-FULL_LOAD_DELAY_S = 0.05  # penalty of a server at its concurrency limit
+FULL_LOAD_DELAY_S = 0.05  # added to the score of a server at its concurrency limit
 SPARE_SLOTS = 1
 CAPPED_CAPACITY_SHARE = 0.4
 
@@ -225,7 +225,7 @@
         if len(self._servers) > MAX_PREFIXES:
             self._servers.popitem(last=False)
 
-    def forget(self, server: str, digest: str) -> None:
+    def remove(self, server: str, digest: str) -> None:
         """Record that a server has evicted a prefix."""
         servers = self._servers.get(digest)
         if servers is None:
@@ -283,7 +283,7 @@
             score = self._score(item, server, cached.get(server.name, 0), now)
             if score < best_score:
                 best, best_score = server, score
-        return _predict(item, best, cached.get(best.name, 0)) if best else None
+        return _build_choice(item, best, cached.get(best.name, 0)) if best else None
 
     def record_dispatch(self, item: WorkItem, server: ServerState, now: float) -> None:
         """Assume that the server caches the prefixes of a dispatched request."""
@@ -296,7 +296,7 @@
 
     def record_evicted(self, server: str, digest: str) -> None:
         """Record that a server has evicted a prefix from its cache."""
-        self._prefixes.forget(server, digest)
+        self._prefixes.remove(server, digest)
 
     def _collect_candidates(
         self, query: _Query, cached: dict[str, int]
@@ -373,7 +373,9 @@
             candidates[name] = server
 
 
-def _predict(item: WorkItem, server: ServerState, cached_tokens: int) -> ServerChoice:
+def _build_choice(
+    item: WorkItem, server: ServerState, cached_tokens: int
+) -> ServerChoice:
     return ServerChoice(
         server=server,
         cached_tokens=cached_tokens,
--- a/packages/decisions/src/ebonyhaven_decisions/_scheduler.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_scheduler.py
@@ -31,7 +31,7 @@
 
 MAX_RECHECKED_REQUESTS = 256
 BLOCKED_SUBQUEUE_RETRY_S = 0.1
-NO_SERVER_RETRY_AFTER_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0
 MIN_REQUESTS_FOR_RATE = 4
 NO_EXCLUDED_SERVERS: frozenset[str] = frozenset()
 
@@ -152,7 +152,7 @@
             return self._admission.refuse(item, RefusalReason.UNKNOWN_CLASS, 0.0)
         if not self.retry_budget.acquire_retry(item.class_name, item.workspace):
             return self._admission.refuse(
-                item, RefusalReason.RETRY_BUDGET, NO_SERVER_RETRY_AFTER_S
+                item, RefusalReason.RETRY_BUDGET, DEFAULT_RETRY_AFTER_S
             )
         self._excluded[item.item_id] = excluded
         self._enqueue(item, policy, now)
@@ -295,11 +295,11 @@
     def _check_without_server(
         self, item: WorkItem, policy: ClassPolicy
     ) -> Refusal | None:
-        if self._admission.compute_queue_limit_s(policy) > NO_SERVER_RETRY_AFTER_S:
+        if self._admission.compute_queue_limit_s(policy) > DEFAULT_RETRY_AFTER_S:
             return None
         self._dequeue(item.item_id)
         return self._admission.refuse(
-            item, RefusalReason.NO_SERVER, NO_SERVER_RETRY_AFTER_S
+            item, RefusalReason.NO_SERVER, DEFAULT_RETRY_AFTER_S
         )
 
     def _has_servers(self, item: WorkItem, now: float) -> bool:
@@ -343,7 +343,7 @@
     def _estimate_workspace_tokens_ahead(
         self, item: WorkItem, cost: float, completions_per_s: float, now: float
     ) -> float:
-        """Return the tokens ahead that give the wait at the rate of the workspace.
+        """Return the tokens served until the backlog of the workspace is served.
 
         Workspaces that were served less come first, including those whose requests
         arrive later. The backlog of a workspace that is not underserved is therefore
--- a/packages/decisions/src/ebonyhaven_decisions/_servers.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_servers.py
@@ -15,11 +15,11 @@
 DEFAULT_PREFILL_TOKENS_PER_S = 4000.0
 REPORT_DECAY_S = 2.0  # a report of this age has half its initial weight
 AVERAGE_DECAY_AFTER_S = 5.0
-REMOTE_LOAD_SMOOTHING = 0.2
+REMOTE_LOAD_SMOOTHING_FACTOR = 0.2
 MAX_IN_FLIGHT_SAMPLES = 128
 SUSPECT_MIN_S = 1.0
 SUSPECT_MAX_S = 8.0
-CORRECTION_SMOOTHING = 0.2
+CORRECTION_SMOOTHING_FACTOR = 0.2
 CORRECTION_FACTOR_MIN = 0.5
 CORRECTION_FACTOR_MAX = 10.0
 MS_PER_S = 1000.0
@@ -88,6 +88,36 @@
     Parameters
     ----------
     entry : ServerEntry
+    capacity : int
+        Maximum number of sequences in the batch.
+    limit : ConcurrencyLimit
+    pace_ms : float
+        Gap between tokens, milliseconds.
+    prefill_tokens_per_s : float
+    reports_leaving : bool
+        Whether the server itself reported that it accepts no new work.
+    is_recovering : bool
+        Whether the server has not answered since its last failure.
+    suspect_until : float
+        Time until which new work is withheld, seconds.
+    failures : int
+        Failures since the last success; those of a suspect server are not counted.
+    failed_at, answered_at : float
+        Time of the last failure and of the last answer, seconds.
+    reported_sequences : int
+        Running and waiting sequences in the last load report.
+    local_in_flight : int
+        Requests of this instance on the server.
+    local_prefill_tokens : int
+        Prompt tokens of this instance that the server has yet to prefill.
+    reported_at : float
+        Time of the last load report or rejection for lack of a free slot, seconds.
+    polled_at : float
+        Time of the last poll or load report, seconds.
+    missing_models : frozenset of str
+        Listed models that the server does not have.
+    correction_factor : float
+        Smoothed ratio of observed to uncorrected predicted times to the first token.
     """
 
     entry: ServerEntry
@@ -131,7 +161,7 @@
     def is_usable(self, now: float) -> bool:
         """Return whether new work may be dispatched to the server.
 
-        A server that failed gets one request at a time until it succeeds.
+        A server that failed is sent one request at a time until it succeeds.
 
         Parameters
         ----------
@@ -159,7 +189,7 @@
         other instances is taken from the last report, whose weight shifts to the
         running average as the report ages. Without a report for
         `AVERAGE_DECAY_AFTER_S`, the average decays too, so that a server which
-        was last reported as full is tried again.
+        was last reported as full is retried.
 
         Parameters
         ----------
@@ -210,11 +240,11 @@
         self.reported_at = report.measured_at
         self.polled_at = max(self.polled_at, report.measured_at)
         self.reported_sequences = report.running + report.waiting
-        self._record_speed(report)
+        self._record_capacity_and_speed(report)
         local_load = self._count_in_flight_at(report.measured_at)
         self._remote_load = max(0.0, report.running + report.waiting - local_load)
         change = self._remote_load - self._remote_load_average
-        self._remote_load_average += REMOTE_LOAD_SMOOTHING * change
+        self._remote_load_average += REMOTE_LOAD_SMOOTHING_FACTOR * change
         self.limit.record_capacity(self.capacity)
         self.limit.record_pace(
             running=report.running,
@@ -249,7 +279,7 @@
         self._in_flight_history.append(_InFlightSample(now, self.local_in_flight))
 
     def release_prefill_tokens(self, prefill_tokens: int) -> None:
-        """Subtract the tokens of a prefill that has ended or was abandoned.
+        """Subtract the tokens of a completed or abandoned prefill.
 
         Parameters
         ----------
@@ -276,7 +306,7 @@
         target_factor = min(
             max(target_factor, CORRECTION_FACTOR_MIN), CORRECTION_FACTOR_MAX
         )
-        self.correction_factor += CORRECTION_SMOOTHING * (
+        self.correction_factor += CORRECTION_SMOOTHING_FACTOR * (
             target_factor - self.correction_factor
         )
 
@@ -312,7 +342,7 @@
         self.suspect_until = now + backoff_s
 
     def record_remote_failure(self, now: float, failed_at: float) -> None:
-        """Withhold work briefly after a failure seen by another instance.
+        """Withhold work for `SUSPECT_MIN_S` after a failure at another instance.
 
         Parameters
         ----------
@@ -335,7 +365,7 @@
         self.reported_at = now
         self._remote_load = max(float(self.capacity) - self.local_in_flight, 0.0)
 
-    def _record_speed(self, report: ServerReport) -> None:
+    def _record_capacity_and_speed(self, report: ServerReport) -> None:
         if report.capacity:
             self.capacity = report.capacity
         if report.pace_ms:
--- a/packages/decisions/src/ebonyhaven_decisions/_suspicion.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_suspicion.py
@@ -1,4 +1,4 @@
-"""Timeouts after which a silent engine is suspected, probed and replaced.
+"""Timeouts after which a silent engine is probed and its runs are continued.
 
 All timeouts derive from the resume target of the class and from the observed gaps
 between tokens. A tight target leaves no time to wait for the result of a probe, so
@@ -11,7 +11,7 @@
 
 import attrs
 
-GAP_SMOOTHING = 0.1
+GAP_SMOOTHING_FACTOR = 0.1
 GAP_DEVIATIONS_FACTOR = 6.0
 MIN_SILENCE_S = 0.15
 MIN_SILENCE_TARGET_SHARE = 0.25
@@ -45,8 +45,8 @@
             Time between the arrivals of two tokens, seconds.
         """
         error = gap_s - self.gap_s
-        self.gap_s += GAP_SMOOTHING * error
-        self.deviation_s += GAP_SMOOTHING * (abs(error) - self.deviation_s)
+        self.gap_s += GAP_SMOOTHING_FACTOR * error
+        self.deviation_s += GAP_SMOOTHING_FACTOR * (abs(error) - self.deviation_s)
 
 
 class ResumePlan(NamedTuple):
--- a/packages/decisions/src/ebonyhaven_decisions/_usage.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_usage.py
@@ -1,8 +1,9 @@
-"""Service consumed by workspaces, shared between instances as bounded digests.
+"""Usage of workspaces, shared between instances as digests of bounded size.
 
-Consumption decays exponentially, so an idle workspace neither accumulates credit
-nor is charged for old usage. All values are stored scaled to a common epoch
-(forward decay), so their order does not change as time passes.
+Usage is the service consumed by requests, in decode tokens; see `compute_cost`. It
+decays exponentially, so an idle workspace neither accumulates credit nor is charged
+for old usage. All values are stored scaled to a common epoch (forward decay), so
+their order does not change as time passes.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 MAX_PEERS = 32
 PEER_TIMEOUT_S = 15.0
 MIN_USAGE_TOKENS = 1.0
-MEAN_PERIOD_S = 0.25
+MEAN_CACHE_S = 0.25
 
 
 class UsageEntry(NamedTuple):
-    """Consumption of one workspace in one class at one instance.
+    """Usage of one workspace in one class at one instance.
 
     Parameters
     ----------
     class_name, workspace : str
     tokens : float
-        Service consumed, after decay, decode tokens.
+        Decayed usage, decode tokens.
     queued_tokens : float
         Service of the queued requests, decode tokens.
     """
@@ -52,12 +53,19 @@
 
 
 class UsageLedger:
-    """Decayed consumption of each class and workspace over all instances.
+    """Decayed usage of each class and workspace over all instances.
 
     Parameters
     ----------
     now : float
         Seconds.
+
+    Attributes
+    ----------
+    instances : int
+        Number of instances, including this one.
+    rebases : int
+        Number of times that the common epoch was moved.
     """
 
     __slots__ = (
@@ -86,11 +94,11 @@
 
     @property
     def remote_scale_factor(self) -> float:
-        """Number of other instances per instance whose digest is known."""
+        """Factor that scales the known digests to all other instances, at least 1."""
         return max(1.0, (self.instances - 1) / len(self._peers)) if self._peers else 1.0
 
     def charge(self, key: UsageKey, tokens: float, now: float) -> None:
-        """Add service consumed on this instance; negative for a correction.
+        """Add usage on this instance; negative for a correction.
 
         Parameters
         ----------
@@ -110,7 +118,7 @@
         self._by_class[key[0]] = max(total, 0.0)
 
     def read(self, key: UsageKey) -> float:
-        """Return the consumption of a workspace at the common epoch.
+        """Return the usage of a workspace, scaled to the common epoch.
 
         The values of two workspaces are comparable at any time; `read_tokens`
         returns the present number of tokens.
@@ -121,15 +129,15 @@
         )
 
     def read_tokens(self, key: UsageKey, now: float) -> float:
-        """Return the decayed consumption at present, decode tokens."""
+        """Return the decayed usage at present, decode tokens."""
         return self.read(key) / self._compute_epoch_factor(now)
 
     def scale_to_epoch(self, tokens: float, now: float) -> float:
-        """Scale tokens consumed now to the common epoch."""
+        """Scale present usage to the common epoch."""
         return tokens * self._compute_epoch_factor(now)
 
     def read_mean(self, class_name: str, now: float) -> float:
-        """Return the mean consumption of the active workspaces of a class.
+        """Return the mean usage of the active workspaces of a class.
 
         Parameters
         ----------
@@ -140,10 +148,10 @@
         Returns
         -------
         float
-            Value at the common epoch, cached for `MEAN_PERIOD_S`.
+            Value scaled to the common epoch, cached for `MEAN_CACHE_S`.
         """
         computed_at, mean = self._means.get(class_name, (-math.inf, 0.0))
-        if now - computed_at < MEAN_PERIOD_S:
+        if now - computed_at < MEAN_CACHE_S:
             return mean
         minimum = MIN_USAGE_TOKENS * self._compute_epoch_factor(now)
         keys = {key for key in self._local if key[0] == class_name}
@@ -154,7 +162,7 @@
         return mean
 
     def read_class_usage(self, class_name: str) -> float:
-        """Return the consumption of a class on this instance, at the common epoch."""
+        """Return the usage of a class on this instance, scaled to the common epoch."""
         return self._by_class.get(class_name, 0.0)
 
     def build_digest(
@@ -165,7 +173,7 @@
     ) -> list[UsageEntry]:
         """Return the most relevant entries for other instances.
 
-        Backlogged workspaces come first, then the largest consumers. Ties are
+        Backlogged workspaces come first, then those with the highest usage. Ties are
         broken at random, so that successive digests cover all of them.
 
         Parameters
@@ -237,7 +245,7 @@
             self._sum_remote()
 
     def find_min_remote_usage(self, class_name: str) -> float:
-        """Return the minimum consumption of the workspaces queued at other instances.
+        """Return the minimum usage of the workspaces queued at other instances.
 
         Parameters
         ----------
@@ -246,7 +254,7 @@
         Returns
         -------
         float
-            Value at the common epoch; infinite when no workspace is queued.
+            Value scaled to the common epoch; infinite when no workspace is queued.
         """
         queued_keys = {
             key
--- a/packages/decisions/src/ebonyhaven_decisions/_work.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_work.py
@@ -1,4 +1,4 @@
-"""Requests as the scheduler sees them, and the decisions about them."""
+"""Requests to be scheduled, and the decisions about them."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     arrival : float
         Time of arrival, seconds.
     deadline : float
-        Time after which the caller has no use for the answer, seconds.
+        Time until which the caller waits for the answer, seconds.
     """
 
     item_id: str
@@ -89,7 +89,7 @@
 
     UNKNOWN_CLASS = "unknown class"
     LATE_FIRST_TOKEN = "the first token would miss the target of the class"
-    LATE_END = "the answer would end after its deadline"
+    LATE_COMPLETION = "the answer would end after its deadline"
     QUEUE_TIMEOUT = "the request waited as long as its class allows"
     QUEUE_FULL = "the queue of this instance is full"
     NO_SERVER = "no backend server can take the request"
@@ -116,6 +116,8 @@
 def compute_cost(prefill_tokens: float, decode_tokens: float) -> float:
     """Return the service that a request consumes, in decode tokens.
 
+    A prefill token counts as `PREFILL_TOKEN_COST_RATIO` decode tokens.
+
     Parameters
     ----------
     prefill_tokens, decode_tokens : float
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_backends.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_backends.py
@@ -8,9 +8,9 @@
 
 import attrs
 
-SUSPECT_MIN_S = 0.4  # a third of a server restart on a fast machine
-SUSPECT_MAX_S = 3.0  # a recovered server gets requests again within this time
-REPLACED_SUSPECT_S = 10.0  # exceeds the time that an entry outlives its process
+SUSPECT_MIN_S = 0.4  # a third of the restart time of a server on a fast machine
+SUSPECT_MAX_S = 3.0  # limits the time until a recovered server is sent requests
+REPLACED_SUSPECT_S = 10.0  # longer than an entry is listed after its process ended
 REMOVED_USABLE_S = 1.5  # shorter than the drain time of a leaving server
 LOAD_REPORT_TTL_S = 1.0  # older reports do not reflect the current load
 SMOOTHING_FACTOR = 0.2
@@ -61,13 +61,13 @@
     Attributes
     ----------
     in_flight : int
-        Requests of this instance that the server has.
+        Requests of this instance in flight at the server.
     run_tokens, copy_tokens : int
         Engine memory that runs and copies of this instance occupy.
     prefill_tokens : int
         Prompt tokens of this instance that the engine has yet to prefill.
     suspect_until : float
-        Time before which the server gets no new requests, seconds.
+        Time before which no new requests are sent to the server, seconds.
     failures : int
         Failures to reach the server since it last responded.
     last_received_at : float
@@ -77,7 +77,7 @@
     latency_s : float
         Moving average of the time to a complete response, seconds.
     reported_load : int
-        Requests of other instances at the last load report.
+        Running and queued requests of other instances in the last load report.
     reported_at : float
         Time of the last load report, seconds.
     removed_at : float or None
@@ -122,7 +122,7 @@
     def is_usable(self, now: float) -> bool:
         """Return whether new requests may be sent to the server.
 
-        After a failure it gets one request at a time until it responds.
+        After a failure, one request at a time is sent until the server responds.
 
         Parameters
         ----------
@@ -146,7 +146,7 @@
         return self.removed_at is None and now >= self.suspect_until
 
     def is_usable_after_removal(self, now: float) -> bool:
-        """Return whether the server may get requests after its entry was removed.
+        """Return whether requests may be sent to the server after its removal.
 
         Entries can expire while the store is unavailable although the processes
         are still serving.
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_budget.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_budget.py
@@ -27,7 +27,7 @@
 
 
 class ServiceRetryBudget:
-    """Share of this instance in the retries allowed to all instances.
+    """Retry budget of one instance, a share of the budget of all instances.
 
     The limit applies to each service over any time span as long as the window, for
     all instances together. The proportional allowance follows the requests that this
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_copy_index.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_copy_index.py
@@ -110,7 +110,7 @@
         At most `INDEX_REPLICAS`, by rendezvous hashing.
     """
 
-    def weigh(name: str) -> bytes:
+    def compute_weight(name: str) -> bytes:
         return hashlib.blake2b(f"{key} {name}".encode(), digest_size=8).digest()
 
-    return sorted(instances, key=weigh, reverse=True)[:INDEX_REPLICAS]
+    return sorted(instances, key=compute_weight, reverse=True)[:INDEX_REPLICAS]
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_directory.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_directory.py
@@ -12,7 +12,7 @@
     BackendState,
 )
 
-# Losses of the remaining servers of a failed data centre are detected in this time.
+# The loss of the other servers of a failed data centre is detected within this time.
 DATA_CENTRE_SUSPECT_S = 0.8
 
 
@@ -86,10 +86,10 @@
                 del self._removed[name]
 
     def _suspect_predecessors(self, entry: BackendEntry, now: float) -> None:
-        """Suspect older entries with the same address."""
+        """Suspect the other entries with the address of a new entry."""
         for each in self._by_id.values():
-            is_older = each.entry.address == entry.address
-            if is_older and each.server_id != entry.server_id:
+            has_same_address = each.entry.address == entry.address
+            if has_same_address and each.server_id != entry.server_id:
                 each.record_replaced(now)
 
     def record_unreachable(self, backend: Backend, now: float) -> None:
@@ -161,7 +161,7 @@
     def list_usable(
         self, service: str, now: float, excluded: Iterable[tuple[str, int]] = ()
     ) -> list[Backend]:
-        """Return the servers of a service that may get new requests.
+        """Return the servers of a service that may be sent new requests.
 
         If the service has no entries at all, recently removed servers are returned.
 
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_placement.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_placement.py
@@ -162,9 +162,9 @@
     """Return whether a prompt may be sent to an engine now.
 
     Designed for overload of prefill capacity, where serving prompts in order of arrival
-    makes all of them miss their target. Streams that can still meet the target go
-    first. A stream that has missed it, or would miss it behind the prompts queued on
-    the engine, waits for an engine with an empty prefill queue.
+    makes all of them miss their target. Streams that can still meet the target are
+    admitted first. A stream that has missed it, or would miss it behind the prompts
+    queued on the engine, waits for an engine with an empty prefill queue.
 
     Parameters
     ----------
@@ -200,10 +200,10 @@
         Server ids, by rendezvous hashing.
     """
 
-    def weigh(backend: Backend) -> int:
+    def compute_weight(backend: Backend) -> int:
         return zlib.crc32(f"{prompt_id}/{backend.server_id}".encode())
 
-    ordered = sorted(candidates, key=weigh, reverse=True)
+    ordered = sorted(candidates, key=compute_weight, reverse=True)
     return frozenset(each.server_id for each in ordered[:PREFERRED_ENGINE_COUNT])
 
 
@@ -279,8 +279,8 @@
     """Return the engine for the copy of a run.
 
     Engines in other data centres than the run's are preferred, because the engines of
-    a data centre tend to fail together. A suspect data centre, whose engines are about
-    to recover, is still preferred to the data centre of the run.
+    a data centre tend to fail together. A suspect data centre is still preferred to
+    the data centre of the run, because its engines may recover shortly.
 
     Parameters
     ----------
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_selection.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_selection.py
@@ -23,7 +23,10 @@
     now: float,
     rng: random.Random,
 ) -> Backend | None:
-    """Return the server with the lowest estimated response time.
+    """Return the server with the lowest cost.
+
+    The cost is the load per slot plus the mean latency in seconds, increased by the
+    share of failed requests and for servers in other data centres.
 
     Parameters
     ----------
--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_stream_timing.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_stream_timing.py
@@ -101,8 +101,8 @@
     ) -> bool:
         """Return whether a stream that starts now can complete before its deadline.
 
-        Designed for callers that retry late: callers whose connections fell silent
-        wait for many seconds, then retry at the same time. Their prompts would be
+        Designed for callers that retry late: callers whose streams stalled wait for
+        many seconds, then retry at the same time. Their prompts would be
         prefilled for streams that no caller waits for any more.
 
         Only streams that completed before their deadline are recorded. A request with
@@ -114,7 +114,7 @@
         remaining_s : float
             Time until the deadline of the caller.
         events_delivered : int
-            Events that the caller already has.
+            Events already delivered to the caller.
         has_copy : bool
             Whether the stream can resume from a copy, without a prefill.
 
@@ -139,8 +139,8 @@
     probe_after_s : float
         Silence after which the server is probed with a new connection.
     resume_after_s : float
-        Silence after which the stream resumes on another server, whatever the
-        result of the probe.
+        Silence after which the stream resumes on another server, regardless of
+        the result of the probe.
     """
 
     probe_after_s: float
