--- a/packages/node/src/ebonyhaven_node/_drivers.py
+++ b/packages/node/src/ebonyhaven_node/_drivers.py
@@ -213,28 +213,28 @@
         self._dependencies.metrics.suspicions.labels(signal.value).inc()
         self._lifecycle.suspect()
         self._silence_detector.record_suspicion()
-        suspected, length = self._candidates.primary, len(self._run.texts)
+        suspected, token_count = self._candidates.primary, len(self._run.texts)
         plan = self._silence_detector.compute_resume_plan()
         parallel_continuation = None
         if plan.prepare_in_parallel and self._may_continue_in_parallel():
             parallel_continuation = ensureDeferred(
-                self._continue_elsewhere({suspected.name}, length)
+                self._continue_elsewhere({suspected.name}, token_count)
             )
         alive = await self._probe(suspected, plan.probe_timeout_s)
-        if self._has_progressed(length) or (
+        if self._has_progressed(token_count) or (
             alive and self._silence_detector.allows_waiting()
         ):
             if parallel_continuation is not None:
                 parallel_continuation.addErrback(_ignore_failure)
             return
         if parallel_continuation is None:
-            await self._continue_elsewhere({suspected.name}, length)
+            await self._continue_elsewhere({suspected.name}, token_count)
         else:
             await parallel_continuation
 
-    def _has_progressed(self, length: int) -> bool:
-        """Return whether the run has ended or has more than ``length`` tokens."""
-        return self._run.ended or len(self._run.texts) > length
+    def _has_progressed(self, token_count: int) -> bool:
+        """Return whether the run has ended or has more than ``token_count`` tokens."""
+        return self._run.ended or len(self._run.texts) > token_count
 
     def _may_continue_in_parallel(self) -> bool:
         return self._request.repeatable and bool(self._run.texts)
@@ -246,47 +246,49 @@
             await self._opener.probe(server, timeout_s=timeout_s)
         except EngineRefusal as refusal:
             if refusal.status == 404 or refusal.reason == CONNECTION_REFUSED:
-                self._record_death(server)
+                self._record_crash(server)
             return False
         except EngineLost as lost:
             # A proxy in front of a dead engine accepts the connection and closes it.
             if lost.closed:
-                self._record_death(server)
+                self._record_crash(server)
             return False
         return True
 
-    def _record_death(self, server: BackendServer) -> None:
+    def _record_crash(self, server: BackendServer) -> None:
         progress = len(self._run.texts) - self._candidates.primary_first_offset
         self._guard.record_crash(server, progress_tokens=progress)
 
     # -- continuation ------------------------------------------------------
 
-    async def _continue_elsewhere(self, excluded: set[str], length: int) -> None:
+    async def _continue_elsewhere(self, excluded: set[str], token_count: int) -> None:
         """Continue the run on another server from the tokens relayed so far.
 
         Parameters
         ----------
         excluded : set of str
             Backend servers that must not be chosen; failed ones are added.
-        length : int
+        token_count : int
             Number of tokens when the run was suspected.
         """
         deadline = time.monotonic() + RESUME_TIMEOUT_S
-        while not self._has_progressed(length):
+        while not self._has_progressed(token_count):
             await self._guard.check(OutcomeTag.FAILED)
             if not self._run.texts:
                 await self._restart(excluded, deadline)
                 return
             slot = await self._acquire_resume_slot(excluded, deadline)
-            if await self._continue_on(slot, length, deadline):
+            if await self._continue_on_server(slot, token_count, deadline):
                 return
             excluded.add(slot.server.name)
 
-    async def _continue_on(self, slot: Slot, length: int, deadline: float) -> bool:
+    async def _continue_on_server(
+        self, slot: Slot, token_count: int, deadline: float
+    ) -> bool:
         """Try one server; return False if another one must be tried."""
         if self._claim.is_required and not await self._move_claim(slot, deadline):
             return True
-        if self._has_progressed(length):
+        if self._has_progressed(token_count):
             slot.release()
             return True
         self._lifecycle.continue_elsewhere()
@@ -301,7 +303,7 @@
         except EngineLost:
             slot.release()
             return await self._opener.resolve_lost_attempt(slot.server)
-        if self._has_progressed(length):
+        if self._has_progressed(token_count):
             self._candidates.drop(opened)
             self._candidates.cancel(opened)
         return True
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -71,7 +71,7 @@
 STREAM_ADMISSION_GRACE_SHARE = 0.25  # a stream started later would be cut off
 SHUTDOWN_MARGIN_S = 0.6  # connections close this long before the process is killed
 DRAIN_POLL_INTERVAL_S = 0.05
-MAX_DEATHS_PER_CONTENT = 3  # server crashes before equal requests are rejected
+MAX_CRASHES_PER_CONTENT = 3  # server crashes before equal requests are rejected
 
 _log = structlog.get_logger()
 
@@ -159,8 +159,8 @@
         )
         self._crashes = CrashReports(
             CrashLedger(
-                max_crashes=MAX_DEATHS_PER_CONTENT,
-                max_weak_crashes=2 * MAX_DEATHS_PER_CONTENT,
+                max_crashes=MAX_CRASHES_PER_CONTENT,
+                max_weak_crashes=2 * MAX_CRASHES_PER_CONTENT,
             )
         )
         self._metrics = ForwardingMetrics(self.registry)
--- a/tests/decisions/scheduling.py
+++ b/tests/decisions/scheduling.py
@@ -24,7 +24,7 @@
 }
 POLICIES = derive_policies(TARGETS)
 MODEL = "dossier"
-LOCAL_PLACE = Locality("dc-a", "r1")
+INSTANCE_LOCALITY = Locality("dc-a", "r1")
 
 
 def build_entries(count, *, prefix="s", data_centre="dc-a"):
@@ -56,16 +56,16 @@
     scheduler = build_scheduler(
         SchedulingAlgorithm.FAIR,
         policies or POLICIES,
-        locality=LOCAL_PLACE,
+        locality=INSTANCE_LOCALITY,
         random_source=random.Random(seed),
         now=0.0,
     )
     scheduler.dispatcher.table.replace(build_entries(servers))
-    report_own_load(scheduler, capacity, now=0.0)
+    report_local_load(scheduler, capacity, now=0.0)
     return scheduler
 
 
-def report_own_load(scheduler, capacity, *, now):
+def report_local_load(scheduler, capacity, *, now):
     for state in scheduler.dispatcher.table:
         running = state.local_in_flight
         report = ServerReport(running, 0, now, capacity=capacity, pace_ms=30.0)
--- a/tests/decisions/test_configuration_exploration.py
+++ b/tests/decisions/test_configuration_exploration.py
@@ -97,8 +97,8 @@
     members = list(state.members)
     members[index] = member
     versions = sorted((item.version for item in members), reverse=True)
-    active_on_majority = versions[INSTANCE_COUNT // 2]
-    majority_version = max(state.majority_version, active_on_majority)
+    version_on_majority = versions[INSTANCE_COUNT // 2]
+    majority_version = max(state.majority_version, version_on_majority)
     return state._replace(members=tuple(members), majority_version=majority_version)
 
 
@@ -184,9 +184,11 @@
         )
         replaced = replace_member(state, index, restarted_member)
         delayed_read = state.delayed_read
-        lost_read = None if delayed_read and delayed_read[0] == index else delayed_read
+        remaining_read = (
+            None if delayed_read and delayed_read[0] == index else delayed_read
+        )
         restarted = replaced._replace(
-            restarts=state.restarts + 1, delayed_read=lost_read
+            restarts=state.restarts + 1, delayed_read=remaining_read
         )
         yield Transition(f"replace {index}", restarted)
 
@@ -215,31 +217,33 @@
 
 
 def test_exploration_detects_a_quorum_of_one():
-    def observe_with_quorum_of_one(view, report, *, listed_instances):
+    def apply_report_with_quorum_of_one(view, report, *, listed_instances):
         return apply_peer_report(view, report, listed_instances=1)
 
     assert (
-        explore_rules(Rules(apply_peer_report=observe_with_quorum_of_one)).violation
+        explore_rules(
+            Rules(apply_peer_report=apply_report_with_quorum_of_one)
+        ).violation
         is not None
     )
 
 
 def test_exploration_detects_counting_replies_to_an_earlier_incarnation():
-    def observe_as_current_reply(view, report, *, listed_instances):
+    def apply_report_as_current_reply(view, report, *, listed_instances):
         current_reply = report._replace(request_incarnation=view.incarnation)
         return apply_peer_report(view, current_reply, listed_instances=listed_instances)
 
     assert (
-        explore_rules(Rules(apply_peer_report=observe_as_current_reply)).violation
+        explore_rules(Rules(apply_peer_report=apply_report_as_current_reply)).violation
         is not None
     )
 
 
 def test_exploration_detects_activation_of_stale_reads():
-    def observe_without_state(view, entry):
+    def apply_entry_without_state(view, entry):
         return apply_table_entry(ConfigurationView(incarnation=view.incarnation), entry)
 
     assert (
-        explore_rules(Rules(apply_table_entry=observe_without_state)).violation
+        explore_rules(Rules(apply_table_entry=apply_entry_without_state)).violation
         is not None
     )
--- a/tests/decisions/test_reservations.py
+++ b/tests/decisions/test_reservations.py
@@ -2,7 +2,11 @@
 
 from collections import Counter
 
-from tests.decisions.scheduling import build_fair_scheduler, build_item, report_own_load
+from tests.decisions.scheduling import (
+    build_fair_scheduler,
+    build_item,
+    report_local_load,
+)
 
 
 def submit_and_dispatch(scheduler, prefix, count, class_name, now):
@@ -56,5 +60,5 @@
     scheduler = build_fair_scheduler(servers=3, capacity=8)
     analyses = submit_and_dispatch(scheduler, "a", 100, "analysis", 0.0)
     assert max(count_by_server(analyses).values()) <= 6
-    report_own_load(scheduler, 8, now=0.1)
+    report_local_load(scheduler, 8, now=0.1)
     assert len(submit_and_dispatch(scheduler, "l", 3, "look-up", 0.2)) == 3
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.decisions.scheduling import LOCAL_PLACE, build_entries, build_item
+from tests.decisions.scheduling import INSTANCE_LOCALITY, build_entries, build_item
 
 NOW = 10.0
 NO_SERVERS = frozenset()
@@ -40,7 +40,7 @@
 
 def build_routers():
     return (
-        LoadAwareRouter(random.Random(1), LOCAL_PLACE),
+        LoadAwareRouter(random.Random(1), INSTANCE_LOCALITY),
         RoundRobinRouter(),
         LeastConnectionsRouter(random.Random(1)),
     )
@@ -51,14 +51,14 @@
     table.get("s003").record_report(ServerReport(0, 0, NOW, capacity=16), 60.0)
     counts = Counter()
     for seed in range(200):
-        router = LoadAwareRouter(random.Random(seed), LOCAL_PLACE)
+        router = LoadAwareRouter(random.Random(seed), INSTANCE_LOCALITY)
         counts[choose(router, table).server.name] += 1
     assert max(counts.values()) <= 200 * 6 / 20
 
 
 def test_requests_of_one_instance_spread_between_reports():
     table = build_table()
-    router = LoadAwareRouter(random.Random(1), LOCAL_PLACE)
+    router = LoadAwareRouter(random.Random(1), INSTANCE_LOCALITY)
     counts = Counter()
     for _ in range(100):
         server = choose(router, table).server
@@ -69,7 +69,7 @@
 
 def test_server_with_cached_prefix_is_preferred_until_it_is_full():
     table = build_table()
-    router = LoadAwareRouter(random.Random(1), LOCAL_PLACE)
+    router = LoadAwareRouter(random.Random(1), INSTANCE_LOCALITY)
     item = build_item(
         "x", prompt_tokens=2000, prefix_digests=("00ab",), prefix_tokens=(1900,)
     )
@@ -88,7 +88,7 @@
     other_centre = build_entries(4, prefix="t", data_centre="dc-b")
     table = ServerTable()
     table.replace(same_centre + other_centre)
-    router = LoadAwareRouter(random.Random(1), LOCAL_PLACE)
+    router = LoadAwareRouter(random.Random(1), INSTANCE_LOCALITY)
     counts = Counter(choose(router, table).server.name[0] for _ in range(50))
     assert counts["s"] > counts["t"]
 
@@ -97,7 +97,7 @@
     table = build_table(1)
     state = table.get("s000")
     state.record_report(ServerReport(13, 0, NOW, capacity=16, pace_ms=30), 60.0)
-    router = LoadAwareRouter(random.Random(1), LOCAL_PLACE)
+    router = LoadAwareRouter(random.Random(1), INSTANCE_LOCALITY)
     assert choose(router, table, allowance=SlotAllowance(reserved_share=0.125)) is None
     assert (
         choose(router, table, allowance=SlotAllowance(may_exceed_limit=True))
@@ -141,4 +141,4 @@
 def test_server_with_missing_model_is_not_chosen():
     table = build_table(1)
     table.get("s000").missing_models = frozenset({"dossier"})
-    assert choose(LoadAwareRouter(random.Random(1), LOCAL_PLACE), table) is None
+    assert choose(LoadAwareRouter(random.Random(1), INSTANCE_LOCALITY), table) is None
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -15,14 +15,14 @@
 from hypothesis import strategies as st
 
 from tests.decisions.scheduling import (
-    LOCAL_PLACE,
+    INSTANCE_LOCALITY,
     POLICIES,
     TARGETS,
     build_entries,
     build_fair_scheduler,
     build_item,
     complete_request,
-    report_own_load,
+    report_local_load,
 )
 
 ANALYSIS_POLICIES = derive_policies({"analysis": TARGETS["analysis"]})
@@ -184,7 +184,7 @@
         scheduler = build_scheduler(
             scheduling,
             POLICIES,
-            locality=LOCAL_PLACE,
+            locality=INSTANCE_LOCALITY,
             random_source=random.Random(1),
             now=0.0,
         )
@@ -221,7 +221,7 @@
         if kind == "submit" and scheduler.submit(item, now) is None:
             open_items[item.item_id] = item
         elif kind == "report":
-            report_own_load(scheduler, 4, now=now)
+            report_local_load(scheduler, 4, now=now)
         elif running and kind in ("finish", "lose", "cancel"):
             dispatch = running.pop(sorted(running)[value % len(running)])
             del open_items[dispatch.item.item_id]
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -44,7 +44,7 @@
 class StaticStateSource(StateSource):
     """A source without updates; tests set the state directly."""
 
-    behind = False
+    unresponsive = False
     versions = (1, 1)
 
     def start(self) -> None:
@@ -57,7 +57,7 @@
         return self.versions
 
     def is_unresponsive(self) -> bool:
-        return self.behind
+        return self.unresponsive
 
     def export(self) -> object:
         return None
@@ -71,11 +71,11 @@
 
     def __init__(self):
         self.inspected = []
-        self.answer = InspectedServer(is_engine=True, started_ms=5)
+        self.result = InspectedServer(is_engine=True, started_ms=5)
 
     async def inspect(self, address):
         self.inspected.append(address)
-        return self.answer
+        return self.result
 
 
 class FakeCopier(RunCopier):
@@ -83,7 +83,7 @@
 
     def __init__(self):
         self.requested = []
-        self.dropped = []
+        self.deleted = []
         self.handle = "h-1"
 
     async def copy_run(self, *, source, request_id, target):
@@ -91,7 +91,7 @@
         return self.handle
 
     async def delete_copy(self, *, source, handle):
-        self.dropped.append((source, handle))
+        self.deleted.append((source, handle))
 
 
 def decode_headers(request: h11.Request) -> dict[str, str]:
--- a/tests/forwarding/test_adoption.py
+++ b/tests/forwarding/test_adoption.py
@@ -24,7 +24,7 @@
 
 def test_restarted_engine_is_adopted_while_the_list_cannot_be_read():
     harness = ForwardingHarness(engines=1)
-    harness.source.behind = True
+    harness.source.unresponsive = True
     server, old = answer_from_other_process(harness)
     adopted = harness.state.backends.find("e-9")
     assert adopted.entry.address == server.address
@@ -43,15 +43,15 @@
 
 def test_process_other_than_an_engine_is_not_adopted():
     harness = ForwardingHarness(engines=1)
-    harness.source.behind = True
-    harness.inspector.answer = InspectedServer(is_engine=False, started_ms=0)
+    harness.source.unresponsive = True
+    harness.inspector.result = InspectedServer(is_engine=False, started_ms=0)
     answer_from_other_process(harness)
     assert harness.state.backends.find("e-9") is None
 
 
 def test_servers_of_plain_services_are_not_adopted():
     harness = ForwardingHarness(plain=1)
-    harness.source.behind = True
+    harness.source.unresponsive = True
     caller = harness.open_caller()
     caller.request("/once/x")
     server, _, _ = harness.take_request()
@@ -63,11 +63,11 @@
 def test_adopted_engine_is_removed_unless_the_list_confirms_it():
     for is_confirmed in (True, False):
         harness = ForwardingHarness(engines=1)
-        harness.source.behind = True
+        harness.source.unresponsive = True
         server, _ = answer_from_other_process(harness)
         adopter = harness.gateway._adopter
         adopter.remove_unconfirmed()
-        harness.source.behind = False
+        harness.source.unresponsive = False
         harness.state.replace_backends({})  # not yet listed again
         assert harness.state.backends.find("e-9") is not None
         if is_confirmed:
--- a/tests/forwarding/test_run_copies.py
+++ b/tests/forwarding/test_run_copies.py
@@ -105,9 +105,9 @@
     send_events(harness, server, 2, 3)
     server.reset()
     harness.advance(0.01)
-    assert harness.copier.dropped == []
+    assert harness.copier.deleted == []
     harness, caller, server, holder = start()
     harness.gateway._context.report_unreachable(holder)
     send_events(harness, server, 2, 3)
     server.receive(STREAM_END)
-    assert harness.copier.dropped == [(server.address, "h-1")]
+    assert harness.copier.deleted == [(server.address, "h-1")]
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_sharing.py
@@ -138,7 +138,7 @@
     digest = membership.digests[0]
     digest.merge("n2", [2, 9])
     assert membership.sent == []
-    harness.source.behind = True
+    harness.source.unresponsive = True
     digest.merge("n2", [1, 1])
     assert membership.sent == []
     digest.merge("n2", [1, 9])
--- a/tests/platform_adapter/test_source.py
+++ b/tests/platform_adapter/test_source.py
@@ -82,7 +82,7 @@
     source = PlatformStateSource(client=store, state=state, reactor=clock)
     for follower in (source._configuration_follower, source._server_follower):
         follower._clock = clock.seconds
-        follower.answered_at = clock.seconds()
+        follower.last_response_at = clock.seconds()
     return clock, store, state, source
 
 
