--- a/packages/node/src/ebonyhaven_node/_content_guard.py
+++ b/packages/node/src/ebonyhaven_node/_content_guard.py
@@ -34,7 +34,7 @@
         self._reactor = reactor
 
     def record_crash(self, server: BackendServer, *, progress_tokens: int) -> None:
-        """Record the death of an engine that was executing the run.
+        """Record the crash of an engine that was executing the run.
 
         Parameters
         ----------
@@ -47,7 +47,7 @@
         )
 
     def is_suspect(self) -> bool:
-        """Return whether an engine has died while it was running this content."""
+        """Return whether an engine has crashed while it was running this content."""
         return self._crashes.evaluate(self._content_digest) is not CrashVerdict.CLEAR
 
     async def check(self, tag: OutcomeTag) -> None:
--- a/packages/node/src/ebonyhaven_node/_crash_reports.py
+++ b/packages/node/src/ebonyhaven_node/_crash_reports.py
@@ -39,7 +39,7 @@
 
 
 class CrashReports:
-    """Records engine deaths by request content and reports them to other instances.
+    """Records engine crashes by request content and shares them with other instances.
 
     Parameters
     ----------
@@ -53,14 +53,14 @@
     def record_crash(
         self, content: str, *, server: ServerProcess, progress_tokens: int
     ) -> None:
-        """Record the death of an engine that was running the content.
+        """Record the crash of an engine that was running the content.
 
         Parameters
         ----------
         content : str
             Digest of the request content.
         server : ServerProcess
-            The engine that died.
+            The engine process that crashed.
         progress_tokens : int
             Tokens that the engine had generated for the run.
         """
--- a/packages/node/src/ebonyhaven_node/_drivers.py
+++ b/packages/node/src/ebonyhaven_node/_drivers.py
@@ -1,4 +1,4 @@
-"""Drivers that execute runs on engines and recover them after losses.
+"""Drivers that execute runs on engines and recover them when an engine is lost.
 
 A driver may have several engine streams of its run open while the engine is
 suspected. The first one that delivers the next token is kept and the others are
@@ -249,7 +249,7 @@
                 self._record_crash(server)
             return False
         except EngineLost as lost:
-            # A proxy in front of a dead engine accepts the connection and closes it.
+            # A proxy in front of a crashed engine accepts the connection and closes it.
             if lost.closed:
                 self._record_crash(server)
             return False
@@ -409,7 +409,7 @@
         self._silence_detector.record_suspicion(since=time.monotonic())
         await self._continue_elsewhere(excluded, len(self._run.texts))
 
-    # -- end ---------------------------------------------------------------
+    # -- completion and failure --------------------------------------------
 
     def _complete(self, finish_reason: str) -> None:
         self._lifecycle.complete()
--- a/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_gateway.py
@@ -71,7 +71,7 @@
 STREAM_ADMISSION_GRACE_SHARE = 0.25  # a stream started later would be cut off
 SHUTDOWN_MARGIN_S = 0.6  # connections close this long before the process is killed
 DRAIN_POLL_INTERVAL_S = 0.05
-MAX_CRASHES_PER_CONTENT = 3  # server crashes before equal requests are rejected
+MAX_CRASHES_PER_CONTENT = 3  # then requests with the same content are rejected
 
 _log = structlog.get_logger()
 
@@ -121,6 +121,7 @@
     build_copier : callable
         Returns the `RunCopier` for a `ConnectionPool`.
     rng : random.Random or None
+        A generator with a random seed if None.
     clock : callable
         Returns seconds of a monotonic clock.
     """
--- a/packages/node/src/ebonyhaven_node/forwarding/_http_client.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_http_client.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 client connections to backend servers and to the store.
 
-Built on h11 rather than on an HTTP agent because its states expose what agents hide:
-bytes after the end of a response, a response before the request was sent, and whether
-a body was terminated by its framing.
+Built on h11 because its states expose what the HTTP agent of Twisted does not: bytes
+after the end of a response, a response before the request was sent, and whether a
+body was terminated by its framing.
 """
 
 from __future__ import annotations
@@ -72,7 +72,8 @@
         ----------
         reason : str
         is_connection_lost : bool
-            True if the connection ended, False if the response is malformed.
+            True if the connection was lost; False if the response is malformed or
+            has timed out.
         """
 
 
@@ -104,13 +105,13 @@
     on_lost : callable
         Called with the connection when it is closed.
     clock : callable
-        Returns seconds.
+        Returns seconds of a monotonic clock.
 
     Attributes
     ----------
     is_closed : bool
     idle_since : float
-        Seconds.
+        Clock time at which the connection became idle, seconds.
     """
 
     def __init__(
@@ -171,7 +172,7 @@
         Parameters
         ----------
         now : float
-            Seconds.
+            Clock time, seconds.
         """
         self.idle_since = now
 
@@ -181,7 +182,7 @@
         Parameters
         ----------
         now : float
-            Seconds.
+            Clock time, seconds.
         """
         return not self.is_closed and now - self.idle_since < self._idle_timeout_s
 
--- a/tests/decisions/test_configuration_exploration.py
+++ b/tests/decisions/test_configuration_exploration.py
@@ -1,7 +1,7 @@
 """Exhaustive exploration of configuration updates on three instances.
 
 Instances learn versions from the table and from each other. Responses of the table
-and reports of peers may be delayed, instances may be replaced, and the table may
+and reports of peers may be delayed, instances may be restarted, and the table may
 become permanently unavailable at any time.
 """
 
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -340,6 +340,7 @@
         return waiting[0], head, body
 
     def count_waiting(self) -> int:
+        """Return the number of connections with a request that no test has read."""
         return sum(each.has_request() for each in self.connections)
 
     def find_address(self, server_id: str) -> str:
