--- a/tests/decisions/membership_cluster.py
+++ b/tests/decisions/membership_cluster.py
@@ -13,7 +13,7 @@
     MemberState,
 )
 
-DELAY_S = 0.002
+MESSAGE_DELAY_S = 0.002
 
 
 def make_record(name: str, *, data_centre: str = "dc-a", **changes) -> MemberRecord:
@@ -32,8 +32,9 @@
 class SimulatedCluster:
     """Membership views of several instances that exchange messages in memory.
 
-    Messages are lost at the rate ``loss`` and on the links in ``cut_links``, pairs of
-    sender and receiver. Instances in ``stopped`` get neither ticks nor messages.
+    Each message is lost with the probability ``loss``. All messages are lost on the
+    links in ``cut_links``, which are pairs of sender and receiver. Instances in
+    ``stopped`` receive neither ticks nor messages.
     """
 
     def __init__(self, count: int, *, seed: int = 1, loss: float = 0.0):
@@ -43,7 +44,7 @@
         self.views: dict[str, Membership] = {}
         self.stopped: set[str] = set()
         self.cut_links: set[tuple[str, str]] = set()
-        self.sent = 0
+        self.sent_message_count = 0
         self._events: list[tuple[float, int, str, tuple | None]] = []
         self._sequence = 0
         for index in range(count):
@@ -69,6 +70,7 @@
         self.now = end
 
     def run_until(self, condition, limit_s: float) -> float:
+        """Run until the condition is met and return the elapsed seconds."""
         started_at = self.now
         while not condition():
             assert self.now - started_at < limit_s, "not reached in time"
@@ -76,6 +78,10 @@
         return self.now - started_at
 
     def list_states(self, subject: str) -> set[MemberState | None]:
+        """Return the states of an instance in the views of the other running ones.
+
+        The set contains None if a view has no record of the instance.
+        """
         states = set()
         for name, view in self.views.items():
             if name != subject and name not in self.stopped:
@@ -84,6 +90,7 @@
         return states
 
     def has_converged(self) -> bool:
+        """Return whether each running view has as many live members as are running."""
         running = [v for n, v in self.views.items() if n not in self.stopped]
         return all(
             sum(record.state == MemberState.LIVE for record in view.table)
@@ -108,12 +115,12 @@
             self._send(view, envelope)
 
     def _send(self, view: Membership, envelope: Envelope) -> None:
-        self.sent += 1
+        self.sent_message_count += 1
         target = envelope.address.split(":")[0]
         if (view.own.name, target) in self.cut_links or self.rng.random() < self.loss:
             return
         delivery = (view.own.name, view.own.incarnation, envelope.message)
-        self._schedule(self.now + DELAY_S, target, delivery)
+        self._schedule(self.now + MESSAGE_DELAY_S, target, delivery)
 
     def _schedule(self, at: float, name: str, delivery: tuple | None) -> None:
         self._sequence += 1
--- a/tests/decisions/test_configuration_entries.py
+++ b/tests/decisions/test_configuration_entries.py
@@ -10,12 +10,12 @@
     parse_declaration,
 )
 
-TARGET_WORKSPACES = 920
-MODELS = 10
+TARGET_WORKSPACE_COUNT = 920
+MODEL_COUNT = 10
 
 
-def make_entry(workspaces: int) -> ConfigurationEntry:
-    models = {f"model-{number}": {"versions": ["1"]} for number in range(MODELS)}
+def make_entry(workspace_count: int) -> ConfigurationEntry:
+    models = {f"model-{number}": {"versions": ["1"]} for number in range(MODEL_COUNT)}
     document = {
         "classes": {},
         "models": models,
@@ -27,7 +27,7 @@
             f"workspace-{number}": {
                 "key_sha256": hashlib.sha256(str(number).encode()).hexdigest()
             }
-            for number in range(workspaces)
+            for number in range(workspace_count)
         },
     }
     return ConfigurationEntry(
@@ -39,14 +39,14 @@
     )
 
 
-def test_entry_survives_serialization():
+def test_serialized_entry_round_trips():
     entry = make_entry(2)
     assert "declaration" in entry.serialize()
     assert parse_configuration_entry(entry.serialize()) == entry
 
 
 def test_entry_of_target_size_fits_a_row():
-    entry = make_entry(TARGET_WORKSPACES)
+    entry = make_entry(TARGET_WORKSPACE_COUNT)
     value = json.dumps(entry.serialize())
     assert len(value) <= MAX_ENTRY_BYTES
     assert parse_configuration_entry(json.loads(value)) == entry
--- a/tests/decisions/test_declarations.py
+++ b/tests/decisions/test_declarations.py
@@ -30,6 +30,7 @@
 
 
 def change_document(path: str, value: object) -> dict:
+    """Return a copy of the document with one value replaced, or deleted if None."""
     document = copy.deepcopy(DOCUMENT)
     *parents, last = path.split("/")
     target = document
--- a/tests/decisions/test_entries.py
+++ b/tests/decisions/test_entries.py
@@ -18,14 +18,14 @@
     return choose_entries(candidates, rng=rng, **location, **options)
 
 
-def names_of(answer):
+def list_names(answer):
     return [entry.name for entry in answer.entries]
 
 
 def test_near_instances_come_first_and_a_remote_one_last():
     near = [make_candidate(f"a{i}") for i in range(6)]
     remote = [make_candidate("b1", data_centre="dc-b")]
-    names = names_of(choose(near + remote))
+    names = list_names(choose(near + remote))
     assert len(names) == 4
     assert names[-1] == "b1"
     assert all(name.startswith("a") for name in names[:-1])
@@ -37,27 +37,27 @@
         make_candidate("b1", data_centre="dc-b"),
         make_candidate("c1", data_centre="dc-c", region="r2"),
     ]
-    assert names_of(choose(candidates)) == ["b1", "c1", "a1"]
+    assert list_names(choose(candidates)) == ["b1", "c1", "a1"]
 
 
 def test_callers_are_spread_evenly_over_equal_instances():
     rng = random.Random(RNG_SEED)
     candidates = [make_candidate(f"a{i}") for i in range(6)]
-    firsts = collections.Counter(
-        names_of(choose(candidates, rng))[0] for _ in range(6000)
+    first_choices = collections.Counter(
+        list_names(choose(candidates, rng))[0] for _ in range(6000)
     )
-    assert max(firsts.values()) <= 1.15 * 1000
-    assert min(firsts.values()) >= 0.85 * 1000
+    assert max(first_choices.values()) <= 1.15 * 1000
+    assert min(first_choices.values()) >= 0.85 * 1000
 
 
 def test_idle_instance_gets_most_but_not_all_callers():
     rng = random.Random(RNG_SEED)
     candidates = [make_candidate("a0", load=0.0)]
     candidates += [make_candidate(f"a{i}", load=0.8) for i in range(1, 4)]
-    firsts = collections.Counter(
-        names_of(choose(candidates, rng))[0] for _ in range(2000)
+    first_choices = collections.Counter(
+        list_names(choose(candidates, rng))[0] for _ in range(2000)
     )
-    assert 0.5 <= firsts["a0"] / 2000 <= 0.75
+    assert 0.5 <= first_choices["a0"] / 2000 <= 0.75
 
 
 def test_keep_time_is_shorter_while_unstable_and_has_jitter():
--- a/tests/decisions/test_forwarding.py
+++ b/tests/decisions/test_forwarding.py
@@ -154,8 +154,8 @@
 
 
 def test_copy_prefers_suspect_data_centre_to_that_of_its_run():
-    # With two suspect data centres, copies were placed in the third, that of their
-    # runs.
+    # Guards against placing a copy in the data centre of its run because the two
+    # others are suspect.
     directory = build_directory(6)
     holder = choose_copy_holder(
         directory.list_usable("engines", 10.0),
@@ -170,8 +170,8 @@
 
 
 def test_concurrent_resumes_do_not_all_choose_the_least_loaded_engine():
-    # After the loss of a data centre, four prompts were sent to the least loaded
-    # engine.
+    # Guards against sending several prompts at once to the least loaded engine after
+    # the loss of a data centre; four were observed on one engine.
     directory = build_directory(6)
     for number in range(1, 6):
         directory.find(f"s{number}").run_tokens = 12000
@@ -321,11 +321,11 @@
 
 
 def test_first_event_limits_grow_with_the_prefill_estimate():
-    alone = compute_first_event_limits(target_latency_s=4.5, estimate_s=1.0)
-    behind = compute_first_event_limits(target_latency_s=4.5, estimate_s=2.5)
-    assert alone.probe_after_s < alone.resume_after_s
-    assert behind.resume_after_s > 5.0
-    assert behind.probe_after_s > 3.0
+    without_queue = compute_first_event_limits(target_latency_s=4.5, estimate_s=1.0)
+    with_queue = compute_first_event_limits(target_latency_s=4.5, estimate_s=2.5)
+    assert without_queue.probe_after_s < without_queue.resume_after_s
+    assert with_queue.resume_after_s > 5.0
+    assert with_queue.probe_after_s > 3.0
 
 
 def test_prefill_rate_follows_observations():
@@ -338,47 +338,53 @@
 
 
 def observe_streams(**options) -> StreamDurations:
-    times = StreamDurations()
+    durations = StreamDurations()
     values = {"first_event_s": 1.0, "streaming_s": 8.0, "events": 120, **options}
     for _ in range(20):
-        times.record(**values)
-    return times
+        durations.record(**values)
+    return durations
 
 
 def test_no_request_is_rejected_before_a_stream_completed():
-    times = StreamDurations()
-    assert times.can_finish_in_time(
+    durations = StreamDurations()
+    assert durations.can_finish_in_time(
         remaining_s=0.01, events_delivered=0, has_copy=False
     )
 
 
 def test_request_with_time_for_a_short_stream_is_not_rejected():
-    times = observe_streams()
-    assert times.can_finish_in_time(remaining_s=5.5, events_delivered=0, has_copy=False)
-    assert not times.can_finish_in_time(
+    durations = observe_streams()
+    assert durations.can_finish_in_time(
+        remaining_s=5.5, events_delivered=0, has_copy=False
+    )
+    assert not durations.can_finish_in_time(
         remaining_s=5.3, events_delivered=0, has_copy=False
     )
 
 
 def test_only_remaining_events_count_for_the_expected_duration():
-    times = observe_streams()
-    assert times.can_finish_in_time(
+    durations = observe_streams()
+    assert durations.can_finish_in_time(
         remaining_s=3.1, events_delivered=60, has_copy=False
     )
-    assert not times.can_finish_in_time(
+    assert not durations.can_finish_in_time(
         remaining_s=2.9, events_delivered=60, has_copy=False
     )
-    assert times.can_finish_in_time(remaining_s=2.5, events_delivered=60, has_copy=True)
-    assert times.can_finish_in_time(
+    assert durations.can_finish_in_time(
+        remaining_s=2.5, events_delivered=60, has_copy=True
+    )
+    assert durations.can_finish_in_time(
         remaining_s=0.7, events_delivered=500, has_copy=False
     )
 
 
-def test_request_with_its_whole_timeout_is_never_rejected():
+def test_request_with_its_full_timeout_remaining_is_never_rejected():
     # Otherwise slow streams could lead to all requests being rejected, and without
     # completed streams the averages would never recover.
-    times = observe_streams(first_event_s=2.0, streaming_s=3.0)
-    assert times.can_finish_in_time(remaining_s=5.0, events_delivered=0, has_copy=False)
+    durations = observe_streams(first_event_s=2.0, streaming_s=3.0)
+    assert durations.can_finish_in_time(
+        remaining_s=5.0, events_delivered=0, has_copy=False
+    )
 
 
 def test_prompt_that_can_meet_its_target_is_queued():
--- a/tests/decisions/test_lease_exploration.py
+++ b/tests/decisions/test_lease_exploration.py
@@ -1,8 +1,9 @@
 """Exhaustive exploration of a lease with two instances.
 
 The backend server ignores fencing numbers. Writes may be committed late, their
-responses may be lost, instances may be paused between any two actions, and an order
-may arrive up to the longest allowed pause after the check before it.
+responses may be lost, and instances may be paused between any two actions. An order
+may arrive at the server up to the longest allowed pause after the instance has checked
+its lease.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
     duration_s=2.0, renew_after_s=1.0, safety_margin_s=0.0, max_clock_drift_ratio=0.0
 )
 LONGEST_PAUSE_S = 1.0
-HORIZON_S = 4.0
+MAX_TIME_S = 4.0
 MAX_VERSION = 3
 
 
@@ -41,11 +42,13 @@
 
 
 class Order(NamedTuple):
+    """An order in transit; the lease was checked at the time ``checked_at``."""
+
     fence: int
     checked_at: float
 
 
-class Member(NamedTuple):
+class InstanceState(NamedTuple):
     view: LeaseView
     pending_write: PendingWrite | None = None
     order: Order | None = None
@@ -55,7 +58,7 @@
     now: float
     row: LeaseRow | None
     version: int
-    members: tuple[Member, ...]
+    instances: tuple[InstanceState, ...]
     highest_executed_fence: int = 0
     stale_order_executed: bool = False
 
@@ -67,26 +70,28 @@
 
 
 def make_initial_state() -> State:
-    members = tuple(Member(LeaseView(owner=name, incarnation=1)) for name in "ab")
-    return State(0.0, None, 0, members)
+    instances = tuple(
+        InstanceState(LeaseView(owner=name, incarnation=1)) for name in "ab"
+    )
+    return State(0.0, None, 0, instances)
 
 
-def replace_member(state: State, index: int, member: Member) -> State:
-    members = list(state.members)
-    members[index] = member
-    return state._replace(members=tuple(members))
+def replace_instance(state: State, index: int, instance: InstanceState) -> State:
+    instances = list(state.instances)
+    instances[index] = instance
+    return state._replace(instances=tuple(instances))
 
 
 def list_write_transitions(
     state: State, index: int, rules: Rules
 ) -> Iterator[Transition]:
-    member = state.members[index]
-    view, pending_write, now = member.view, member.pending_write, state.now
+    instance = state.instances[index]
+    view, pending_write, now = instance.view, instance.pending_write, state.now
     if pending_write is None:
         if state.version > view.row_version:
             seen = observe_lease(view, state.row, state.version, now)
             yield Transition(
-                "read", replace_member(state, index, member._replace(view=seen))
+                "read", replace_instance(state, index, instance._replace(view=seen))
             )
         action = rules.decide(view, TIMING, now)
         if action is not LeaseAction.WAIT and state.version < MAX_VERSION:
@@ -94,11 +99,13 @@
             new_write = PendingWrite(row, view.row_version, now)
             yield Transition(
                 "send",
-                replace_member(state, index, member._replace(pending_write=new_write)),
+                replace_instance(
+                    state, index, instance._replace(pending_write=new_write)
+                ),
             )
     elif pending_write.committed_version >= 0:
-        without_write = member._replace(pending_write=None)
-        yield Transition("lose answer", replace_member(state, index, without_write))
+        without_write = instance._replace(pending_write=None)
+        yield Transition("lose response", replace_instance(state, index, without_write))
         confirmed = rules.confirm(
             view,
             pending_write.row,
@@ -107,35 +114,36 @@
             sent_at=pending_write.sent_at,
             now=now,
         )
-        confirmed_member = member._replace(view=confirmed, pending_write=None)
-        yield Transition("answer", replace_member(state, index, confirmed_member))
+        confirmed_instance = instance._replace(view=confirmed, pending_write=None)
+        yield Transition("response", replace_instance(state, index, confirmed_instance))
     elif pending_write.expected_version == state.version:
         version = state.version + 1
-        committed_member = member._replace(
+        committed_instance = instance._replace(
             pending_write=pending_write._replace(committed_version=version)
         )
-        committed = replace_member(state, index, committed_member)
+        committed = replace_instance(state, index, committed_instance)
         yield Transition(
             "commit", committed._replace(row=pending_write.row, version=version)
         )
     else:
-        without_write = member._replace(pending_write=None)
-        yield Transition("refuse", replace_member(state, index, without_write))
+        without_write = instance._replace(pending_write=None)
+        yield Transition("conflict", replace_instance(state, index, without_write))
 
 
 def list_order_transitions(
     state: State, index: int, rules: Rules
 ) -> Iterator[Transition]:
-    member = state.members[index]
-    order = member.order
+    instance = state.instances[index]
+    order = instance.order
     if order is None:
-        if rules.may_order(member.view, state.now, longest_pause_s=LONGEST_PAUSE_S):
-            checked = Order(member.view.fence, state.now)
+        if rules.may_order(instance.view, state.now, longest_pause_s=LONGEST_PAUSE_S):
+            checked = Order(instance.view.fence, state.now)
             yield Transition(
-                "check", replace_member(state, index, member._replace(order=checked))
+                "check",
+                replace_instance(state, index, instance._replace(order=checked)),
             )
         return
-    delivered = replace_member(state, index, member._replace(order=None))
+    delivered = replace_instance(state, index, instance._replace(order=None))
     if state.now - order.checked_at > LONGEST_PAUSE_S:
         yield Transition("drop order", delivered)
         return
@@ -149,9 +157,9 @@
 
 
 def list_transitions(state: State, rules: Rules) -> Iterator[Transition]:
-    if state.now < HORIZON_S:
+    if state.now < MAX_TIME_S:
         yield Transition("tick", state._replace(now=state.now + 1))
-    for index in range(len(state.members)):
+    for index in range(len(state.instances)):
         name = "ab"[index]
         for transition in list_write_transitions(state, index, rules):
             yield Transition(f"{name}: {transition.action}", transition.state)
@@ -160,7 +168,7 @@
 
 
 def is_safe(state: State) -> bool:
-    held = [is_held(member.view, state.now) for member in state.members]
+    held = [is_held(instance.view, state.now) for instance in state.instances]
     return sum(held) <= 1 and not state.stale_order_executed
 
 
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -35,9 +35,9 @@
 
 
 @given(st.lists(st.booleans(), min_size=200, max_size=400))
-def test_retries_are_limited_to_a_tenth_of_the_first_attempts(events):
+def test_retries_are_limited_to_a_tenth_of_the_first_attempts(retry_flags):
     budget = RetryBudget()
-    for is_retry in events:
+    for is_retry in retry_flags:
         if is_retry:
             budget.acquire_retry("look-up", "studio-a")
         else:
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -7,7 +7,7 @@
 from tests.decisions.membership_cluster import SimulatedCluster, make_record
 
 MAX_DETECTION_S = 3.0
-DOWN = {MemberState.SUSPECT, MemberState.DEAD}
+DOWN_STATES = {MemberState.SUSPECT, MemberState.DEAD}
 records = st.builds(
     MemberRecord,
     incarnation=st.integers(0, 4),
@@ -68,7 +68,7 @@
         cluster = start_converged(count)
         cluster.stopped.add("n1")
         detection_s = cluster.run_until(
-            lambda p=cluster: p.list_states("n1") <= DOWN, 10.0
+            lambda p=cluster: p.list_states("n1") <= DOWN_STATES, 10.0
         )
         assert detection_s <= MAX_DETECTION_S, (count, detection_s)
 
@@ -104,16 +104,16 @@
     assert view.table.get("n2").state == MemberState.LIVE
     cluster.stopped.discard("n1")
     cluster.run_until(lambda: not view.is_outdated(cluster.now), 5.0)
-    assert view.table.get("n2").state in DOWN
+    assert view.table.get("n2").state in DOWN_STATES
 
 
 def test_one_way_link_failure_raises_no_suspicion():
     cluster = start_converged(9)
-    watcher = cluster.views["n1"].targets[0]
-    cluster.cut_links.add(("n1", watcher))
+    heartbeat_target = cluster.views["n1"].targets[0]
+    cluster.cut_links.add(("n1", heartbeat_target))
     cluster.run(20.0)
     assert cluster.list_states("n1") == {MemberState.LIVE}
-    assert cluster.views[watcher].counts.indirect_signs > 0
+    assert cluster.views[heartbeat_target].counts.indirect_signs > 0
 
 
 def test_isolated_instance_raises_no_suspicion():
@@ -170,7 +170,7 @@
     rates = []
     for count in (12, 48):
         cluster = start_converged(count)
-        before = cluster.sent
+        before = cluster.sent_message_count
         cluster.run(20.0)
-        rates.append((cluster.sent - before) / 20.0 / count)
+        rates.append((cluster.sent_message_count - before) / 20.0 / count)
     assert max(rates) <= 10.0, rates
--- a/tests/decisions/test_queueing.py
+++ b/tests/decisions/test_queueing.py
@@ -60,8 +60,8 @@
     for index in range(20):
         queue.push(build_item(f"a{index}", workspace="a"), 100.0, later)
         queue.push(build_item(f"b{index}", workspace="b"), 100.0, later)
-    names = [serve_next(queue, ledger, later).workspace for _ in range(10)]
-    assert names.count("a") == 5
+    served = [serve_next(queue, ledger, later).workspace for _ in range(10)]
+    assert served.count("a") == 5
 
 
 def test_urgent_class_is_served_first_up_to_its_share():
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -53,7 +53,7 @@
     for seed in range(200):
         router = LoadAwareRouter(random.Random(seed), INSTANCE_LOCALITY)
         counts[choose(router, table).server.name] += 1
-    assert max(counts.values()) <= 200 * 6 / 20
+    assert max(counts.values()) <= 200 * 6 / 20  # six times the mean
 
 
 def test_requests_of_one_instance_spread_between_reports():
--- a/tests/decisions/test_scheduler.py
+++ b/tests/decisions/test_scheduler.py
@@ -143,10 +143,10 @@
     dispatch = running[0]
     lost = dispatch.choice.server.name
     scheduler.dispatcher.record_failure(dispatch.item.item_id, FailureKind.LOST, 1.0)
-    moved = scheduler.dispatcher.route_resume(dispatch.item, frozenset({lost}), 1.0)
-    assert moved.choice.server.name != lost
-    everywhere = frozenset(state.name for state in scheduler.dispatcher.table)
-    assert scheduler.dispatcher.route_resume(dispatch.item, everywhere, 1.0) is None
+    resumed = scheduler.dispatcher.route_resume(dispatch.item, frozenset({lost}), 1.0)
+    assert resumed.choice.server.name != lost
+    all_servers = frozenset(state.name for state in scheduler.dispatcher.table)
+    assert scheduler.dispatcher.route_resume(dispatch.item, all_servers, 1.0) is None
 
 
 def test_cancel_releases_waiting_and_running_requests():
--- a/tests/decisions/test_servers.py
+++ b/tests/decisions/test_servers.py
@@ -137,7 +137,7 @@
     assert all(state.estimate_load(9.0) == 6.0 for state in reported)
 
 
-def test_remote_suspicion_is_ignored_after_a_later_answer():
+def test_remote_suspicion_is_ignored_after_a_later_response():
     table, other = ServerTable(), ServerTable()
     table.replace(build_entries(1))
     other.replace(build_entries(1))
--- a/tests/forwarding/streaming.py
+++ b/tests/forwarding/streaming.py
@@ -10,13 +10,14 @@
     stream_head,
 )
 
-SIZE = {"X_Token_Count": "8000,700", "X_Prompt_Prefix": "aa:200,bb:7800"}
+SIZE_HEADERS = {"X_Token_Count": "8000,700", "X_Prompt_Prefix": "aa:200,bb:7800"}
 
 
-def start(path="/stream/x", engines=3, **options):
+def start_stream(path="/stream/x", engines=3, **options):
+    """Send a stream request and return its harness and caller."""
     harness = ForwardingHarness(engines=engines)
     caller = harness.open_caller()
-    caller.request(path, **{**SIZE, **options})
+    caller.request(path, **{**SIZE_HEADERS, **options})
     return harness, caller
 
 
@@ -25,7 +26,10 @@
 
 
 def open_stream(harness, *numbers):
-    """Accept the pending request and send a response head and events."""
+    """Respond to the pending request with a response head and events.
+
+    Returns the connection of the server and the headers of the request.
+    """
     server, head, _ = harness.take_request()
     server.receive(stream_head("r1"))
     for number in numbers:
--- a/tests/forwarding/test_admission.py
+++ b/tests/forwarding/test_admission.py
@@ -123,7 +123,8 @@
 
 
 def test_leaving_instance_accepts_calls_only_while_they_can_complete():
-    # A request accepted 7.65 s after the signal was aborted by the end of the process.
+    # Guards against accepting a request that is aborted when the process exits, as
+    # happened to one accepted 7.65 s after the signal.
     harness = ForwardingHarness()
     harness.gateway._leaving_since = harness.reactor.seconds()
     harness.advance(6.5)
--- a/tests/forwarding/test_adoption.py
+++ b/tests/forwarding/test_adoption.py
@@ -13,7 +13,10 @@
 
 
 def answer_from_other_process(harness, other="e-9"):
-    """Have an engine answer with the id of another process."""
+    """Respond to a stream request with the id of another process.
+
+    Returns the connection of the server and the id that the request expected.
+    """
     caller = harness.open_caller()
     caller.request("/stream/x", **TOKEN_COUNT_HEADER)
     server, head, _ = harness.take_request()
@@ -25,11 +28,13 @@
 def test_restarted_engine_is_adopted_while_the_list_cannot_be_read():
     harness = ForwardingHarness(engines=1)
     harness.source.unresponsive = True
-    server, old = answer_from_other_process(harness)
+    server, expected_id = answer_from_other_process(harness)
     adopted = harness.state.backends.find("e-9")
     assert adopted.entry.address == server.address
     assert adopted.entry.started_ms == 5
-    assert not harness.state.backends.find(old).is_usable(harness.reactor.seconds())
+    assert not harness.state.backends.find(expected_id).is_usable(
+        harness.reactor.seconds()
+    )
     _, head, _ = harness.take_request()
     assert decode_headers(head)["x-expect-instance"] == "e-9"
 
@@ -106,8 +111,8 @@
 
 
 def test_loss_of_a_data_centre_is_no_crash_evidence_against_a_frequent_content():
-    # The loss of one data centre was counted as several crashes by the same content,
-    # and further requests with that content were rejected.
+    # Guards against counting the loss of one data centre as several crashes by the
+    # same content, after which further requests with that content are rejected.
     harness = ForwardingHarness(engines=9)
     for number in range(9):
         harness.open_caller().request(
--- a/tests/forwarding/test_earlier_runs.py
+++ b/tests/forwarding/test_earlier_runs.py
@@ -8,20 +8,20 @@
     refusal,
     stream_head,
 )
-from tests.forwarding.streaming import SIZE, open_stream, start
+from tests.forwarding.streaming import SIZE_HEADERS, open_stream, start_stream
 
 
 def retry_stream(harness, position="2", **options):
     """Retry a stream from a position with a new request id."""
     caller = harness.open_caller()
-    headers = {**SIZE, "Last_Event_Id": position, **options}
+    headers = {**SIZE_HEADERS, "Last_Event_Id": position, **options}
     caller.request("/stream/x", "r2", **headers)
     harness.advance(0.01)
     return caller
 
 
 def test_retry_of_a_caller_resumes_from_the_copy_of_its_run():
-    harness, caller = start()
+    harness, caller = start_stream()
     _, sent = open_stream(harness, 1, 2)
     caller.disconnect()
     retry = retry_stream(harness)
@@ -34,7 +34,7 @@
 
 
 def test_retry_prefills_the_prompt_if_the_copy_is_gone():
-    harness, caller = start()
+    harness, caller = start_stream()
     open_stream(harness, 1, 2)
     caller.disconnect()
     retry_stream(harness)
@@ -47,7 +47,7 @@
 
 
 def test_retry_with_another_prompt_does_not_use_the_copy():
-    harness, caller = start()
+    harness, caller = start_stream()
     open_stream(harness, 1, 2)
     caller.disconnect()
     retry_stream(harness, X_Prompt_Prefix="aa:200,cc:7800")
@@ -56,7 +56,7 @@
 
 
 def test_copy_of_a_completed_run_is_not_used():
-    harness, _ = start()
+    harness, _ = start_stream()
     server, _ = open_stream(harness, 1, 2)
     server.receive(STREAM_END)
     retry_stream(harness)
--- a/tests/forwarding/test_run_copies.py
+++ b/tests/forwarding/test_run_copies.py
@@ -9,13 +9,14 @@
     stream_head,
 )
 
-SIZE = {"X_Token_Count": "8000,700"}
+TOKEN_COUNT_HEADER = {"X_Token_Count": "8000,700"}
 
 
-def start(engines=6):
+def start_run(engines=6):
+    """Return the harness, caller, server and copy holder of a run with one event."""
     harness = ForwardingHarness(engines=engines)
     caller = harness.open_caller()
-    caller.request("/stream/x", **SIZE)
+    caller.request("/stream/x", **TOKEN_COUNT_HEADER)
     server, head, _ = harness.take_request()
     sent = decode_headers(head)
     server.receive(stream_head("r1") + chunk(event(1)))
@@ -31,13 +32,13 @@
 
 
 def test_no_copy_is_requested_while_the_first_one_is_available():
-    harness, _, server, _ = start()
+    harness, _, server, _ = start_run()
     send_events(harness, server, 2, 20)
     assert harness.copier.requested == []
 
 
 def test_lost_copy_is_replaced_and_used_after_loss_of_the_run():
-    harness, caller, server, holder = start()
+    harness, caller, server, holder = start_run()
     harness.gateway._context.report_unreachable(holder)
     send_events(harness, server, 2, 3)
     source, request_id, target = harness.copier.requested[0]
@@ -54,7 +55,7 @@
 
 
 def test_requested_copy_is_refreshed_before_it_expires():
-    harness, _, server, holder = start()
+    harness, _, server, holder = start_run()
     harness.gateway._context.report_unreachable(holder)
     send_events(harness, server, 2, 22)  # two seconds; copies expire after four
     assert len(harness.copier.requested) == 2
@@ -62,7 +63,7 @@
 
 
 def test_copy_on_a_restarted_server_is_replaced():
-    harness, _, server, holder = start()
+    harness, _, server, holder = start_run()
     entry = holder.entry._replace(started_ms=99)
     harness.state.put_backend(entry)
     send_events(harness, server, 2, 3)
@@ -70,7 +71,7 @@
 
 
 def test_holder_is_probed_after_a_loss_in_its_data_centre():
-    harness, _, server, holder = start()
+    harness, _, server, holder = start_run()
     neighbour = next(
         each
         for each in harness.state.backends
@@ -83,7 +84,7 @@
 
 
 def test_refused_copy_is_retried_at_intervals():
-    harness, _, server, holder = start()
+    harness, _, server, holder = start_run()
     harness.copier.handle = None
     harness.gateway._context.report_unreachable(holder)
     send_events(harness, server, 2, 17)
@@ -91,7 +92,7 @@
 
 
 def test_replaced_copy_is_released():
-    harness, caller, server, holder = start()
+    harness, caller, server, holder = start_run()
     harness.gateway._context.report_unreachable(holder)
     send_events(harness, server, 2, 3)
     assert holder.copy_tokens == 0
@@ -99,14 +100,14 @@
     assert all(each.copy_tokens == 0 for each in harness.state.backends)
 
 
-def test_copy_is_dropped_after_completion_and_kept_while_needed():
-    harness, caller, server, holder = start()
+def test_copy_is_dropped_after_completion_but_not_after_loss_of_the_run():
+    harness, caller, server, holder = start_run()
     harness.gateway._context.report_unreachable(holder)
     send_events(harness, server, 2, 3)
     server.reset()
     harness.advance(0.01)
     assert harness.copier.deleted == []
-    harness, caller, server, holder = start()
+    harness, caller, server, holder = start_run()
     harness.gateway._context.report_unreachable(holder)
     send_events(harness, server, 2, 3)
     server.receive(STREAM_END)
--- a/tests/forwarding/test_shared_copy_index.py
+++ b/tests/forwarding/test_shared_copy_index.py
@@ -26,20 +26,23 @@
 OTHERS = ("n2", "n3", "n4", "n5", "n6")
 
 
-class Network:
+class FakeNetwork:
     """Delivers messages between the indexes synchronously."""
 
     def __init__(self):
         self.channels: dict[str, FakeChannels] = {}
 
     def join(self, index, name, others) -> FakeMembership:
-        membership = NetworkMembership(self, name, others)
+        """Connect the index of an instance to those of the others."""
+        membership = FakeNetworkMembership(self, name, others)
         self.channels[name] = FakeChannels()
         index.connect(membership, self.channels[name])
         return membership
 
 
-class NetworkMembership(FakeMembership):
+class FakeNetworkMembership(FakeMembership):
+    """Sends messages through a fake network."""
+
     def __init__(self, network, name, others):
         super().__init__(*others)
         self.own = make_record(name)
@@ -53,9 +56,9 @@
             channels.handlers[kind](Frame(kind, self.own.name, 1, payload))
 
 
-def build(*names):
+def build_indexes(*names):
     """Return connected indexes by instance name, their network and their clock."""
-    clock, network = Clock(), Network()
+    clock, network = Clock(), FakeNetwork()
     indexes = {name: SharedCopyIndex(clock, clock.seconds) for name in names}
     for name, index in indexes.items():
         network.join(index, name, [each for each in names if each != name])
@@ -69,14 +72,14 @@
 
 
 def test_location_is_found_on_all_instances_after_loss_of_its_publisher():
-    indexes, network, _ = build("n1", *OTHERS)
+    indexes, network, _ = build_indexes("n1", *OTHERS)
     indexes["n1"].publish("abc", LOCATION)
     del network.channels["n1"]
     assert [start_lookup(indexes[name], "abc") for name in OTHERS] == [[LOCATION]] * 5
 
 
 def test_withdrawn_location_is_not_found():
-    indexes, _, clock = build("n1", *OTHERS)
+    indexes, _, clock = build_indexes("n1", *OTHERS)
     indexes["n1"].publish("abc", LOCATION)
     indexes["n1"].publish("abc", None)
     results = [start_lookup(index, "abc") for index in indexes.values()]
@@ -86,7 +89,7 @@
 
 def test_entry_is_removed_without_messages():
     clock = Clock()
-    index, network = SharedCopyIndex(clock, clock.seconds), Network()
+    index, network = SharedCopyIndex(clock, clock.seconds), FakeNetwork()
     membership = network.join(index, "n1", OTHERS)
     index.publish("abc", LOCATION)
     count = len(membership.sent)
@@ -96,7 +99,7 @@
 
 
 def test_publishing_stays_within_its_share_of_control_traffic():
-    # At the target size, a node starts 3.9 generations per second. Control traffic is
+    # At the target size, a node starts 3.9 runs per second. Its control traffic is
     # limited to 2,000 bytes per second, of which the index may use two thirds.
     location = RunCopyLocation(
         "i-0123456789", "10.33.164.138:18028", "0123456789abcdef"
@@ -106,7 +109,7 @@
 
 
 def test_unanswered_lookup_times_out():
-    indexes, network, clock = build("n1", *OTHERS)
+    indexes, network, clock = build_indexes("n1", *OTHERS)
     network.channels.clear()
     found = start_lookup(indexes["n1"], "abc")
     assert found == []
@@ -117,7 +120,7 @@
 
 def test_locations_are_not_sent_to_dead_instances():
     clock = Clock()
-    index, network = SharedCopyIndex(clock, clock.seconds), Network()
+    index, network = SharedCopyIndex(clock, clock.seconds), FakeNetwork()
     membership = network.join(index, "n1", OTHERS)
     replicas = [
         name for name in choose_index_instances("abc", ("n1", *OTHERS)) if name != "n1"
@@ -141,7 +144,7 @@
 
 
 def test_malformed_messages_are_ignored():
-    indexes, network, _ = build("n1", "n2")
+    indexes, network, _ = build_indexes("n1", "n2")
     handle_location = network.channels["n2"].handlers[FrameKind.RUN_PLACE]
     for payload in ("nonsense", ["abc"], ["abc", ["e-1"]], 7):
         handle_location(Frame(FrameKind.RUN_PLACE, "n1", 1, payload))
@@ -174,13 +177,13 @@
 
 
 def test_all_callers_of_a_lost_instance_resume_from_copies():
-    # After the loss of an instance, all its callers retry at another one within a
-    # tenth of a second. Prefilling their prompts again at the same time delayed these
-    # streams, and the new ones, by seconds.
+    # After the loss of an instance, all its callers retry at another one within 0.1 s.
+    # Guards against prefilling all their prompts again at once, which delays these
+    # streams and new ones by seconds.
     lost, remaining, network = (
         ForwardingHarness(engines=9),
         ForwardingHarness(engines=9),
-        Network(),
+        FakeNetwork(),
     )
     network.join(lost.gateway._copy_index, "n1", ["n2"])
     network.join(remaining.gateway._copy_index, "n2", ["n1"])
--- a/tests/forwarding/test_sharing.py
+++ b/tests/forwarding/test_sharing.py
@@ -50,13 +50,13 @@
         self.excluded_entries = frozenset(names)
 
 
-def build_use_sharing(*names):
+def build_use_exchange(*names):
     harness = ForwardingHarness()
     membership, channels, clock = FakeMembership(*names), FakeChannels(), Clock()
-    lost = []
+    lost_servers = []
     peers = PeerEngineUse(ttl_s=3.0)
     budget = ServiceRetryBudget(ratio=0.8, window_s=10.0, slack=150.0)
-    sharing = EngineUseExchange(
+    exchange = EngineUseExchange(
         state=harness.state,
         peers=peers,
         budget=budget,
@@ -65,17 +65,19 @@
         reactor=clock,
         rng=random.Random(1),
         on_peer_use=lambda: None,
-        on_loss=lost.append,
+        on_loss=lost_servers.append,
     )
-    return harness, sharing, membership, channels, clock, lost, peers, budget
+    return harness, exchange, membership, channels, clock, lost_servers, peers, budget
 
 
 def test_engine_use_and_losses_are_sent_to_all_instances_in_one_message():
-    harness, sharing, membership, _, clock, _, _, budget = build_use_sharing("n2", "n3")
+    harness, exchange, membership, _, clock, _, _, budget = build_use_exchange(
+        "n2", "n3"
+    )
     engine = harness.state.backends.find("e-0")
     engine.run_tokens, engine.prefill_tokens = 8700, 8000
-    sharing.schedule_report()
-    sharing.report_lost_server(harness.state.backends.find("e-1"))
+    exchange.schedule_report()
+    exchange.report_lost_server(harness.state.backends.find("e-1"))
     clock.advance(0.02)
     payload = [{"e-0": [8700, 0, 8000]}, ["e-1"]]
     assert sorted(membership.sent) == [
@@ -86,15 +88,15 @@
 
 
 def test_nonzero_use_is_resent_periodically_and_zero_use_once():
-    harness, sharing, membership, _, clock, _, _, _ = build_use_sharing("n2")
+    harness, exchange, membership, _, clock, _, _, _ = build_use_exchange("n2")
     engine = harness.state.backends.find("e-0")
     engine.run_tokens = 5
-    sharing.schedule_report()
+    exchange.schedule_report()
     clock.advance(0.02)
     clock.advance(1.1)
     assert len(membership.sent) == 2
     engine.run_tokens = 0
-    sharing.schedule_report()
+    exchange.schedule_report()
     clock.advance(0.02)
     assert membership.sent[-1][2] == [{}, []]
     clock.pump([1.0] * 5)
@@ -102,14 +104,14 @@
 
 
 def test_reports_of_a_peer_are_recorded_unless_malformed():
-    _, _, _, channels, _, lost, peers, _ = build_use_sharing("n2")
+    _, _, _, channels, _, lost_servers, peers, _ = build_use_exchange("n2")
     receive = channels.handlers[FrameKind.ENGINE_USE]
     receive(
         Frame(FrameKind.ENGINE_USE, "n2", 1, [{"e-0": [1, 2, 3]}, ["e-2", "unknown"]])
     )
     now = peers._reports["n2"][0]
     assert peers.sum_by_server(now) == {"e-0": EngineUse(1, 2, 3)}
-    assert [each.server_id for each in lost] == ["e-2"]
+    assert [each.server_id for each in lost_servers] == ["e-2"]
     receive(Frame(FrameKind.ENGINE_USE, "n2", 1, "nonsense"))
     assert peers.sum_by_server(now) == {"e-0": EngineUse(1, 2, 3)}
 
@@ -121,7 +123,7 @@
     assert peers.sum_by_server(13.1) == {}
 
 
-def build_state_sharing():
+def build_state_synchronizer():
     harness = ForwardingHarness()
     membership, channels = FakeMembership("n2"), FakeChannels()
     StateSynchronizer(
@@ -134,7 +136,7 @@
 
 
 def test_newer_state_is_requested_only_while_the_store_is_unresponsive():
-    harness, membership, _ = build_state_sharing()
+    harness, membership, _ = build_state_synchronizer()
     digest = membership.digests[0]
     digest.merge("n2", [2, 9])
     assert membership.sent == []
@@ -146,7 +148,7 @@
 
 
 def test_instance_without_state_is_excluded_from_entry_lists():
-    _, membership, _ = build_state_sharing()
+    _, membership, _ = build_state_synchronizer()
     digest = membership.digests[0]
     digest.merge("n2", [0, 0])
     assert membership.excluded_entries == {"n2"}
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -12,11 +12,16 @@
     refusal,
     stream_head,
 )
-from tests.forwarding.streaming import SIZE, open_stream, read_body, start
+from tests.forwarding.streaming import (
+    SIZE_HEADERS,
+    open_stream,
+    read_body,
+    start_stream,
+)
 
 
 def test_events_are_relayed_as_they_arrive_until_the_stream_ends():
-    harness, caller = start()
+    harness, caller = start_stream()
     server, sent = open_stream(harness, 1)
     assert sent["x-token-count"] == "8000,700"
     assert sent["x-prompt-prefix"] == "aa:200,bb:7800"
@@ -27,7 +32,7 @@
 
 
 def test_each_run_has_a_copy_in_another_data_centre():
-    harness, _ = start()
+    harness, _ = start_stream()
     _, sent = open_stream(harness)
     by_address = {each.entry.address: each.entry for each in harness.state.backends}
     source = harness.state.backends.find(sent["x-expect-instance"]).entry
@@ -35,7 +40,7 @@
 
 
 def test_lost_stream_resumes_from_its_copy_without_missing_or_repeated_events():
-    harness, caller = start()
+    harness, caller = start_stream()
     server, sent = open_stream(harness, 1, 2)
     partial_event = event(3)[:7]
     server.receive(chunk(partial_event))
@@ -59,7 +64,7 @@
 def test_run_without_events_does_not_resume_from_a_copy():
     # Engines create no copy before the first event, so an attempt to resume from one
     # only waits behind other prompts.
-    harness, _ = start()
+    harness, _ = start_stream()
     server, _ = open_stream(harness)
     server.reset()
     harness.advance(0.01)
@@ -68,7 +73,7 @@
 
 
 def test_missing_copy_falls_back_to_a_new_prefill():
-    harness, caller = start()
+    harness, caller = start_stream()
     server, _ = open_stream(harness, 1)
     server.reset()
     harness.advance(0.01)
@@ -84,7 +89,7 @@
 
 
 def test_silent_stream_with_a_copy_resumes_within_the_gap_target():
-    harness, caller = start()
+    harness, caller = start_stream()
     first, sent = open_stream(harness, 1)
     harness.advance(0.34)
     assert harness.count_waiting() == 0
@@ -97,8 +102,9 @@
 
 
 def test_slow_prefill_on_a_live_server_is_not_aborted():
-    # A silence limit of 2.7 s aborted streams on engines that prefilled two prompts.
-    harness, caller = start()
+    # Guards against aborting a stream while its engine prefills two prompts, as did a
+    # limit of 2.7 s without received data.
+    harness, caller = start_stream()
     server, _, _ = harness.take_request()
     harness.advance(2.0)
     assert harness.count_waiting() == 0
@@ -108,10 +114,10 @@
 
 
 def test_unreachable_server_is_abandoned_before_its_first_event():
-    harness, _ = start()
+    harness, _ = start_stream()
     first, _, _ = harness.take_request()
     harness.silent.add(first.address)
-    harness.advance(1.7)  # 0.3 of the target of 4.5 s, plus the probe
+    harness.advance(1.7)  # probe at 0.3 of the target of 4.5 s, plus its timeout
     assert first.is_closed
     second, _, _ = harness.take_request()
     assert second.address != first.address
@@ -123,7 +129,7 @@
     servers = {}
     for number in range(6):
         caller = harness.open_caller()
-        caller.request("/stream/x", request_id=f"r{number}", **SIZE)
+        caller.request("/stream/x", request_id=f"r{number}", **SIZE_HEADERS)
         callers.append(caller)
         server, head, _ = harness.take_request()
         servers[decode_headers(head)["x-expect-instance"]] = (number, server)
@@ -140,7 +146,7 @@
 
 
 def test_loss_reported_by_a_peer_is_ignored_for_a_recently_active_server():
-    harness, _ = start()
+    harness, _ = start_stream()
     server, sent = open_stream(harness, 1)
     backend = harness.state.backends.find(sent["x-expect-instance"])
     harness.gateway._context.report_unreachable(backend, is_from_peer=True)
@@ -149,7 +155,7 @@
 
 
 def test_stream_on_a_non_resumable_route_is_aborted():
-    harness, caller = start("/fixed/x")
+    harness, caller = start_stream("/fixed/x")
     server, _ = open_stream(harness, 1)
     server.reset()
     harness.advance(1.0)
@@ -159,7 +165,7 @@
 
 
 def test_response_of_another_process_is_retried_on_another_server():
-    harness, _ = start()
+    harness, _ = start_stream()
     server, _, _ = harness.take_request()
     server.receive(answer("r1", b"", 421, X_Server_Stamp=None))
     harness.advance(0.01)
@@ -168,7 +174,7 @@
 
 
 def test_server_error_before_the_first_event_is_retried():
-    harness, caller = start()
+    harness, caller = start_stream()
     server, _, _ = harness.take_request()
     server.receive(answer("r1", b"broken", 500))
     harness.advance(0.01)
@@ -177,7 +183,7 @@
 
 
 def test_client_error_of_a_server_is_forwarded():
-    harness, caller = start()
+    harness, caller = start_stream()
     server, _, _ = harness.take_request()
     server.receive(answer("r1", b"too long", 400))
     harness.advance(0.01)
@@ -185,7 +191,7 @@
 
 
 def test_stream_is_aborted_at_its_deadline():
-    harness, caller = start(X_Deadline_Ms="3000")
+    harness, caller = start_stream(X_Deadline_Ms="3000")
     server, _ = open_stream(harness, 1)
     for number in range(2, 12):
         harness.advance(0.3)
@@ -196,14 +202,14 @@
 
 
 def test_disconnected_caller_closes_the_server_connection():
-    harness, caller = start()
+    harness, caller = start_stream()
     server, _ = open_stream(harness, 1)
     caller.disconnect()
     assert server.is_closed
 
 
 def test_last_event_id_of_the_caller_is_sent_with_the_first_attempt():
-    harness, caller = start(Last_Event_Id="7")
+    harness, caller = start_stream(Last_Event_Id="7")
     server, sent = open_stream(harness)
     assert sent["last-event-id"] == "7"
     server.receive(chunk(event(7)) + chunk(event(8)))
@@ -211,10 +217,12 @@
 
 
 def test_stream_waits_until_an_engine_has_capacity():
-    harness, _ = start(engines=1, X_Token_Count="60000,700")
+    harness, _ = start_stream(engines=1, X_Token_Count="60000,700")
     first, _, _ = harness.take_request()
     caller = harness.open_caller()
-    caller.request("/stream/x", request_id="r2", **{**SIZE, **MOST_MEMORY})
+    caller.request(
+        "/stream/x", request_id="r2", **{**SIZE_HEADERS, **LARGE_PROMPT_HEADERS}
+    )
     harness.advance(0.5)
     assert harness.count_waiting() == 0
     first.receive(stream_head("r1") + chunk(event(1)) + STREAM_END)
@@ -223,10 +231,14 @@
 
 
 def test_stream_without_capacity_is_refused_in_time_for_a_retry():
-    harness, _ = start(engines=1, X_Token_Count="60000,700", X_Deadline_Ms="25000")
+    harness, _ = start_stream(
+        engines=1, X_Token_Count="60000,700", X_Deadline_Ms="25000"
+    )
     server, _ = open_stream(harness, 1)
     caller = harness.open_caller()
-    caller.request("/stream/x", request_id="r2", **{**SIZE, **HALF_MEMORY})
+    caller.request(
+        "/stream/x", request_id="r2", **{**SIZE_HEADERS, **MEDIUM_PROMPT_HEADERS}
+    )
     for number in range(2, 96):
         harness.advance(0.2)
         server.receive(chunk(event(number)))
@@ -235,8 +247,8 @@
     assert "retry-after" in headers
 
 
-HALF_MEMORY = {"X_Token_Count": "30000,700"}
-MOST_MEMORY = {"X_Token_Count": "60000,700"}
+MEDIUM_PROMPT_HEADERS = {"X_Token_Count": "30000,700"}
+LARGE_PROMPT_HEADERS = {"X_Token_Count": "60000,700"}
 
 
 def test_refused_connections_do_not_use_the_retry_budget():
@@ -244,7 +256,7 @@
     for number in range(5):
         harness.refused.add(harness.find_address(f"e-{number}"))
     caller = harness.open_caller()
-    caller.request("/stream/x", **SIZE)
+    caller.request("/stream/x", **SIZE_HEADERS)
     harness.advance(0.1)
     server, _, _ = harness.take_request()
     assert server.address == harness.find_address("e-5")
@@ -253,7 +265,7 @@
 
 
 def test_completed_stream_releases_all_reservations():
-    harness, _ = start()
+    harness, _ = start_stream()
     server, _ = open_stream(harness, 1)
     server.receive(STREAM_END)
     harness.advance(0.01)
@@ -263,7 +275,7 @@
 
 
 def test_copy_on_a_lost_server_is_not_used_again():
-    harness, _ = start(engines=6)
+    harness, _ = start_stream(engines=6)
     server, _ = open_stream(harness, 1)
     server.reset()
     harness.advance(0.01)
@@ -276,7 +288,7 @@
 
 
 def test_status_that_implies_not_run_is_not_forwarded_after_a_run():
-    harness, caller = start("/fixed/x")
+    harness, caller = start_stream("/fixed/x")
     server, _, _ = harness.take_request()
     server.receive(answer("r1", b"busy", 429))
     harness.advance(0.01)
@@ -284,7 +296,7 @@
 
 
 def test_suspected_server_is_logged_once():
-    harness, _ = start()
+    harness, _ = start_stream()
     server, sent = open_stream(harness, 1)
     harness.refused.add(server.address)
     with capture_logs() as lines:
--- a/tests/node/test_channels.py
+++ b/tests/node/test_channels.py
@@ -11,7 +11,7 @@
 
 from tests.reactor_thread import run_in_reactor
 
-DEADLINE_S = 20.0
+RECEIVE_TIMEOUT_S = 20.0
 
 
 class Endpoint:
@@ -30,11 +30,11 @@
         )
         self.channels.subscribe(FrameKind.CONFIGURATION, self.received.append)
 
-    def read(self, name: str, **labels: str) -> float:
+    def read_metric(self, name: str, **labels: str) -> float:
         return self.registry.get_sample_value(f"ebonyhaven_control_{name}", labels)
 
     async def wait_for(self, count: int) -> list[Frame]:
-        deadline = time.monotonic() + DEADLINE_S
+        deadline = time.monotonic() + RECEIVE_TIMEOUT_S
         while len(self.received) < count:
             assert time.monotonic() < deadline, self.received
             await task.deferLater(reactor, 0.01)
@@ -54,15 +54,15 @@
             )
             await second.wait_for(number + 1)
         assert second.received == [make_frame(number) for number in range(3)]
-        assert second.read("bytes_total", direction="received") == first.read(
-            "bytes_total", direction="sent"
-        )
+        assert second.read_metric(
+            "bytes_total", direction="received"
+        ) == first.read_metric("bytes_total", direction="sent")
     finally:
         first.channels.close()
         second.channels.close()
 
 
-def test_frames_arrive_and_are_counted_on_both_ends():
+def test_frames_arrive_and_are_counted_by_sender_and_receiver():
     run_in_reactor(exchange_frames, False)
 
 
@@ -78,9 +78,9 @@
             endpoint.channels.send(unused_address, make_frame(i)) for i in range(40)
         ]
         assert not queued[-1]
-        assert endpoint.read("dropped_total", reason="queue_full") == queued.count(
-            False
-        )
+        assert endpoint.read_metric(
+            "dropped_total", reason="queue_full"
+        ) == queued.count(False)
     finally:
         endpoint.channels.close()
 
@@ -95,7 +95,7 @@
         with pynng.Push0(dial=f"tcp://{receiver.address}") as raw:
             for data in (b"", b"[1]", b'["zz","n1",1,0]', b'["c",1,1,0]'):
                 raw.send(data)
-            while receiver.read("dropped_total", reason="malformed") != 4:
+            while receiver.read_metric("dropped_total", reason="malformed") != 4:
                 await task.deferLater(reactor, 0.01)
         sender.channels.send(receiver.address, make_frame("good"))
         assert await receiver.wait_for(1) == [make_frame("good")]
@@ -115,7 +115,7 @@
         sender.channels.send(receiver.address, Frame(FrameKind.QUERY, "n1", 3, None))
         sender.channels.send(receiver.address, make_frame("good"))
         assert await receiver.wait_for(1) == [make_frame("good")]
-        assert receiver.read("dropped_total", reason="handler_failed") == 1
+        assert receiver.read_metric("dropped_total", reason="handler_failed") == 1
     finally:
         sender.channels.close()
         receiver.channels.close()
@@ -129,7 +129,7 @@
     sender, receiver = Endpoint(loss=1.0), Endpoint()
     try:
         assert not sender.channels.send(receiver.address, make_frame(1))
-        assert sender.read("dropped_total", reason="development_loss") == 1
+        assert sender.read_metric("dropped_total", reason="development_loss") == 1
     finally:
         sender.channels.close()
         receiver.channels.close()
--- a/tests/node/test_claims.py
+++ b/tests/node/test_claims.py
@@ -109,7 +109,7 @@
     assert not claim.is_acquired
 
 
-def test_insert_fails_in_an_outage_and_the_wait_ends_after_it():
+def test_insert_fails_in_an_outage_and_succeeds_after_wait_available():
     table, clock = FakeTable(), Clock()
     table.faults = ["unavailable"]
     store = make_store(table, clock)
--- a/tests/node/test_commands.py
+++ b/tests/node/test_commands.py
@@ -12,12 +12,12 @@
 
 from ebonyhaven_standins.cluster import allocate_address
 
-STOP_TIMEOUT_S = 20.0
+PROCESS_TIMEOUT_S = 20.0
 
 
 @contextlib.contextmanager
 def run_node():
-    """Run a node without a platform; yield its caller address and its process."""
+    """Run a node with an unreachable platform; yield its caller address and process."""
     address = allocate_address()
     settings = {
         "instance": "n1",
@@ -37,7 +37,7 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        watchdog = threading.Timer(STOP_TIMEOUT_S, process.kill)
+        watchdog = threading.Timer(PROCESS_TIMEOUT_S, process.kill)
         watchdog.start()
         try:
             yield address, process
@@ -57,13 +57,13 @@
     raise AssertionError(f"no {event} in {lines}: {process.stderr.read()}")
 
 
-def test_node_logs_to_standard_output_and_exports_lost_lines():
+def test_node_logs_to_standard_output_and_exports_the_count_of_dropped_lines():
     with run_node() as (address, process):
         read_until(process, "node_started")
         with urllib.request.urlopen(f"http://{address}/metrics") as response:
             metrics = response.read().decode()
         process.send_signal(signal.SIGTERM)
-        output, errors = process.communicate(timeout=STOP_TIMEOUT_S)
+        output, errors = process.communicate(timeout=PROCESS_TIMEOUT_S)
     assert "ebonyhaven_log_lines_lost 0.0" in metrics
     assert errors == ""
     events = [json.loads(line)["event"] for line in output.splitlines() if "{" in line]
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -44,7 +44,7 @@
 
     def read_changes(self, since: int, *, prefix: str) -> Deferred[RowSet]:
         if self.row is None:
-            error = Unavailable(step="table.changes", peer="platform", reason="out")
+            error = Unavailable(step="table.changes", peer="platform", reason="outage")
             return fail(error)
         rows = (self.row,) if self.row.version > since else ()
         return succeed(RowSet(rows, self.row.version))
@@ -76,8 +76,8 @@
         self.responses.append(response)
 
 
-class Instance:
-    """Controller on a clock that the test advances."""
+class ControllerHarness:
+    """Controller with a simulated clock, a fake table and fake peers."""
 
     def __init__(self, peers: int = 4):
         self.clock = Clock()
@@ -95,7 +95,7 @@
         Deferred.fromCoroutine(self.controller.run())
         self.controller.connect_peers(self.peers)
 
-    def read(self) -> None:
+    def advance_read_period(self) -> None:
         self.clock.advance(MIN_READ_PERIOD_S)
 
     def respond(
@@ -112,60 +112,60 @@
 
 
 def test_malformed_row_is_rejected_and_a_later_version_activated():
-    instance = Instance()
-    instance.table.write({"version": 1}, 1)
-    instance.read()
-    assert instance.configuration.version == 0
-    instance.table.write(make_entry(2, {"classes": 3}).serialize(), 2)
-    instance.read()
-    assert instance.configuration.version == 0
-    instance.table.write(make_entry(3).serialize(), 3)
-    instance.read()
-    assert instance.configuration.version == 3
-    assert instance.peers.announced == 1
+    harness = ControllerHarness()
+    harness.table.write({"version": 1}, 1)
+    harness.advance_read_period()
+    assert harness.configuration.version == 0
+    harness.table.write(make_entry(2, {"classes": 3}).serialize(), 2)
+    harness.advance_read_period()
+    assert harness.configuration.version == 0
+    harness.table.write(make_entry(3).serialize(), 3)
+    harness.advance_read_period()
+    assert harness.configuration.version == 3
+    assert harness.peers.announced == 1
 
 
 def test_starting_instance_requires_responses_of_more_than_half():
-    instance = Instance(peers=4)
-    instance.respond("p0", 1)
-    instance.respond("p1", 2)
-    instance.respond("p2", 2, request_incarnation=INCARNATION - 1)
-    assert instance.configuration.version == 0
-    instance.respond("p3", 1)
-    assert instance.configuration.version == 2
+    harness = ControllerHarness(peers=4)
+    harness.respond("p0", 1)
+    harness.respond("p1", 2)
+    harness.respond("p2", 2, request_incarnation=INCARNATION - 1)
+    assert harness.configuration.version == 0
+    harness.respond("p3", 1)
+    assert harness.configuration.version == 2
 
 
 def test_starting_instance_queries_peers_in_batches_during_a_table_outage():
-    instance = Instance(peers=3 * REQUEST_BATCH_SIZE)
-    instance.read()
-    assert 0 < len(instance.peers.requested) <= 4 * REQUEST_BATCH_SIZE
-    instance.clock.pump([MIN_READ_PERIOD_S] * 10)
-    assert set(instance.peers.requested) == set(instance.peers.names)
+    harness = ControllerHarness(peers=3 * REQUEST_BATCH_SIZE)
+    harness.advance_read_period()
+    assert 0 < len(harness.peers.requested) <= 4 * REQUEST_BATCH_SIZE
+    harness.clock.pump([MIN_READ_PERIOD_S] * 10)
+    assert set(harness.peers.requested) == set(harness.peers.names)
 
 
 def test_running_instance_requests_and_activates_a_higher_version():
-    instance = Instance()
-    instance.table.write(make_entry(1).serialize(), 1)
-    instance.read()
-    instance.peers.requested.clear()
-    instance.controller.receive_version("p2", 2)
-    assert instance.peers.requested == ["p2"]
-    instance.respond("p2", 2, request_incarnation=0)
-    assert instance.configuration.version == 2
-    instance.read()
-    instance.respond("p1", 1)
-    assert instance.configuration.version == 2
+    harness = ControllerHarness()
+    harness.table.write(make_entry(1).serialize(), 1)
+    harness.advance_read_period()
+    harness.peers.requested.clear()
+    harness.controller.receive_version("p2", 2)
+    assert harness.peers.requested == ["p2"]
+    harness.respond("p2", 2, request_incarnation=0)
+    assert harness.configuration.version == 2
+    harness.advance_read_period()
+    harness.respond("p1", 1)
+    assert harness.configuration.version == 2
 
 
 def test_response_includes_the_content_only_of_a_newer_version():
-    instance = Instance()
-    instance.controller.receive_request("p0", 5, 0)
-    assert instance.peers.responses[-1].version == 0
-    instance.table.write(make_entry(4).serialize(), 1)
-    instance.read()
-    instance.controller.receive_request("p0", 5, 3)
-    instance.controller.receive_request("p0", 5, 4)
-    with_content, without_content = instance.peers.responses[-2:]
+    harness = ControllerHarness()
+    harness.controller.receive_request("p0", 5, 0)
+    assert harness.peers.responses[-1].version == 0
+    harness.table.write(make_entry(4).serialize(), 1)
+    harness.advance_read_period()
+    harness.controller.receive_request("p0", 5, 3)
+    harness.controller.receive_request("p0", 5, 4)
+    with_content, without_content = harness.peers.responses[-2:]
     assert with_content.entry.version == 4
     assert with_content.request_incarnation == 5
     assert without_content.entry is None
--- a/tests/node/test_crash_reports.py
+++ b/tests/node/test_crash_reports.py
@@ -7,7 +7,7 @@
 from ebonyhaven_node._servers import BackendServer
 
 CONTENT = "0123456789abcdef"
-HEARTBEAT_BYTES = 64
+DIGEST_BUDGET_BYTES = 64
 
 
 def make_server(name):
@@ -20,7 +20,7 @@
     first, second = CrashReports(CrashLedger()), CrashReports(CrashLedger())
     first.record_crash(CONTENT, server=make_server("s1"), progress_tokens=0)
     second.record_crash(CONTENT, server=make_server("s2"), progress_tokens=0)
-    outgoing = first.make_digest().collect(HEARTBEAT_BYTES)
+    outgoing = first.make_digest().collect(DIGEST_BUDGET_BYTES)
     assert outgoing
     second.make_digest().merge("n1", json.loads(json.dumps(outgoing)))
     assert second.evaluate(CONTENT) is CrashVerdict.STOPPED
@@ -31,5 +31,5 @@
     first, second = CrashReports(CrashLedger()), CrashReports(CrashLedger())
     for reports in (first, second):
         reports.record_crash(CONTENT, server=make_server("s1"), progress_tokens=0)
-    second.make_digest().merge("n1", first.make_digest().collect(HEARTBEAT_BYTES))
+    second.make_digest().merge("n1", first.make_digest().collect(DIGEST_BUDGET_BYTES))
     assert second.evaluate(CONTENT) is CrashVerdict.SUSPECT
--- a/tests/node/test_digests.py
+++ b/tests/node/test_digests.py
@@ -6,7 +6,9 @@
 from ebonyhaven_node import Digest, DigestSet, TableDigest, fit_entries
 
 
-class Version(Digest):
+class VersionDigest(Digest):
+    """Digest of a single number; the highest merged number is kept."""
+
     code = "c"
     has_priority = True
 
@@ -32,7 +34,7 @@
     for digest in (
         make_table_digest("l", 20),
         make_table_digest("u", 20),
-        Version(7),
+        VersionDigest(7),
     ):
         digests.add(digest)
     seen = set()
@@ -58,7 +60,7 @@
 def test_malformed_payload_is_counted_and_other_digests_are_merged():
     faults = []
     target = DigestSet(on_fault=faults.append)
-    version = Version(1)
+    version = VersionDigest(1)
     target.add(version)
     target.add(make_table_digest("l", 0))
     target.merge("n1", {"l": 5, "c": 9, "x": 1})
@@ -69,7 +71,7 @@
 def test_payload_over_the_budget_is_dropped():
     faults = []
     digests = DigestSet(on_fault=faults.append, budget_bytes=10)
-    digests.add(Version(10**12))
+    digests.add(VersionDigest(10**12))
     assert digests.collect() == {}
     assert faults == ["digest_too_long"]
 
--- a/tests/node/test_log_writer.py
+++ b/tests/node/test_log_writer.py
@@ -52,7 +52,7 @@
         data += read_all(reader)
     lines = data.decode().splitlines()
     assert [int(line[:4]) for line in lines] == list(range(300))
-    assert {len(line) for line in lines} == {1003}
+    assert {len(line) for line in lines} == {1003}  # four digits and a line of 999
 
 
 def test_closed_reader_drops_lines_without_an_error():
@@ -64,14 +64,14 @@
     assert writer.dropped == 2
 
 
-def test_routine_lines_are_limited_and_warnings_always_pass():
+def test_routine_lines_are_limited_and_warnings_are_never_dropped():
     now = [10.0]
     limiter = RoutineLogLimiter(5, clock=lambda: now[0])
-    passed = []
+    logged = []
 
     def log(method):
         try:
-            passed.append((method, limiter(None, method, {"event": "e"})))
+            logged.append((method, limiter(None, method, {"event": "e"})))
         except structlog.DropEvent:
             return
 
@@ -79,11 +79,11 @@
         log("info")
     for _ in range(20):
         log("warning")
-    assert [method for method, _ in passed].count("info") == 5
-    assert [method for method, _ in passed].count("warning") == 20
-    assert passed[5][1]["routine_lines_dropped"] == 15
+    assert [method for method, _ in logged].count("info") == 5
+    assert [method for method, _ in logged].count("warning") == 20
+    assert logged[5][1]["routine_lines_dropped"] == 15
     now[0] = 11.0
     log("info")
-    assert passed[-1][0] == "info"
+    assert logged[-1][0] == "info"
     assert limiter.dropped == 15
-    json.dumps(passed)
+    json.dumps(logged)
--- a/tests/node/test_policy_scheduling.py
+++ b/tests/node/test_policy_scheduling.py
@@ -21,7 +21,7 @@
 from twisted.internet.defer import CancelledError, ensureDeferred
 
 NOW = 100.0
-LOWER_ENGINE_PRIORITY = 3  # second class, and its only workspace is not underserved
+LOWER_ENGINE_PRIORITY = 3  # for the class ranked second, workspace not underserved
 CLOCK_TIMES_S = (1.0, 100.0, 1e6)  # from shortly after boot to a long uptime
 
 DECLARATION = {
@@ -107,10 +107,12 @@
 
 
 def acquire(scheduling, *args, **options):
-    granted = ensureDeferred(scheduling.acquire(make_slot_request(*args, **options)))
+    acquisition = ensureDeferred(
+        scheduling.acquire(make_slot_request(*args, **options))
+    )
     results = []
-    granted.addBoth(results.append)
-    return granted, results
+    acquisition.addBoth(results.append)
+    return acquisition, results
 
 
 def test_slot_is_counted_until_it_is_released():
@@ -136,7 +138,7 @@
         assert second[0].priority == LOWER_ENGINE_PRIORITY
 
 
-def test_request_without_server_is_refused_at_once_with_a_retry_time():
+def test_request_without_server_is_refused_immediately_with_retry_after():
     scheduling, _ = build_scheduling(servers=0)
     _, results = acquire(scheduling, "look-up")
     outcome = results[0].value.outcome
@@ -157,15 +159,15 @@
 def test_cancelled_acquisition_removes_the_queued_request():
     scheduling, known_servers = build_scheduling(capacity=2)
     _, first = acquire(scheduling)
-    granted, second = acquire(scheduling)
-    granted.cancel()
+    acquisition, second = acquire(scheduling)
+    acquisition.cancel()
     assert second[0].check(CancelledError)
     assert len(scheduling.scheduler) == 0
     first[0].release()
     assert known_servers.find("s0").in_flight == 0
 
 
-def test_unreachable_server_receives_no_work_until_it_responds():
+def test_unreachable_server_receives_no_requests_until_it_responds():
     scheduling, known_servers = build_scheduling(servers=2)
     known_servers.find("s0").record_unreachable(NOW)
     _, results = acquire(scheduling)
--- a/tests/node/test_runs.py
+++ b/tests/node/test_runs.py
@@ -4,7 +4,7 @@
 from ebonyhaven_node._requests import GenerationRequest
 from ebonyhaven_node._runs import Run
 
-GENERATION, OTHER = "0" * 8, "1" * 8
+GENERATION, OTHER_GENERATION = "0" * 8, "1" * 8
 
 
 def make_run(texts=(), server="s1"):
@@ -37,11 +37,13 @@
 
 
 def test_position_of_another_generation_is_not_contained():
-    assert not make_run("abc").contains_position(EventId(1, OTHER, "s1"))
+    assert not make_run("abc").contains_position(EventId(1, OTHER_GENERATION, "s1"))
 
 
 def test_caller_without_a_token_can_attach_to_any_generation():
-    assert make_run().contains_position(EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9"))
+    assert make_run().contains_position(
+        EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER_GENERATION, "s9")
+    )
     assert make_run("abc").contains_position(
-        EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER, "s9")
+        EventId(OFFSET_BEFORE_FIRST_TOKEN, OTHER_GENERATION, "s9")
     )
