--- a/packages/standins/src/ebonyhaven_standins/bench/_losses.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_losses.py
@@ -37,7 +37,7 @@
 PAUSE_S = {Size.SHORT: 4.0, Size.FULL: 30.0}
 PAUSED_STREAM_TOKENS = {Size.SHORT: 300, Size.FULL: 1400}
 STREAM_TOKENS = 250
-LOSS_S = 3.0
+LOSS_AT_S = 3.0
 ARRIVAL_SPAN_S = 1.0
 STREAMS_PER_CLASS = 18
 ENGINE_COUNT = 6
@@ -122,7 +122,7 @@
         tokens = PAUSED_STREAM_TOKENS[size]
     scenario = Scenario(
         arrivals=make_arrivals(seed, tokens),
-        actions=[TimedAction(LOSS_S, injector.inject)],
+        actions=[TimedAction(LOSS_AT_S, injector.inject)],
         limits=CallerLimits(total_timeout_s=0.0 if mode == "restart" else 60.0),
         seed=seed,
     )
--- a/packages/standins/src/ebonyhaven_standins/bench/_membership_measures.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_membership_measures.py
@@ -230,7 +230,7 @@
         delays += delay_by_observer.values()
         missed += len(others) - len(delay_by_observer)
         nodes.restart(killed)
-        nodes.wait_for_agreement()
+        nodes.wait_for_convergence()
         time.sleep(rng.uniform(1.0, 2.0))
     delays.sort()
     return Detection(
--- a/packages/standins/src/ebonyhaven_standins/bench/_node_sets.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_node_sets.py
@@ -17,8 +17,8 @@
 from ebonyhaven_standins.metric_samples import MetricSamples
 
 METRICS_TIMEOUT_S = 40.0
-AGREEMENT_TIMEOUT_S = 60.0
-AGREEMENT_POLL_INTERVAL_S = 0.2
+CONVERGENCE_TIMEOUT_S = 60.0
+CONVERGENCE_POLL_INTERVAL_S = 0.2
 
 
 class NodeSet(abc.ABC):
@@ -78,20 +78,20 @@
         samples = self.read_metrics(name)
         return int(samples.sum("ebonyhaven_members", 'state="live"'))
 
-    def wait_for_agreement(self) -> None:
+    def wait_for_convergence(self) -> None:
         """Block until each instance regards all instances as live.
 
         Raises
         ------
         TimeoutError
-            After `AGREEMENT_TIMEOUT_S`.
+            After `CONVERGENCE_TIMEOUT_S`.
         """
-        deadline = time.monotonic() + AGREEMENT_TIMEOUT_S
+        deadline = time.monotonic() + CONVERGENCE_TIMEOUT_S
         count = len(self.names)
         while any(self.count_live(name) != count for name in self.names):
             if time.monotonic() > deadline:
                 raise TimeoutError("the instances do not regard each other as live")
-            time.sleep(AGREEMENT_POLL_INTERVAL_S)
+            time.sleep(CONVERGENCE_POLL_INTERVAL_S)
 
 
 class ControlNodeSet(NodeSet):
--- a/packages/standins/src/ebonyhaven_standins/bench/_soak.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_soak.py
@@ -33,12 +33,12 @@
 FAULT_PAIR_SHARE = 0.3
 NOT_REPEATABLE_SHARE = 0.3
 ANALYSIS_SHARE = 0.5
-CRASHING_REQUESTS = {"short": 1, "full": 4}
-CONFIGURATION_CHANGES = {"short": 2, "full": 8}
+CRASHING_REQUEST_COUNTS = {"short": 1, "full": 4}
+CONFIGURATION_CHANGE_COUNTS = {"short": 2, "full": 8}
 LOOK_UP_TOKENS_RANGE = (8, 60)
 ANALYSIS_TOKENS_RANGE = (80, 240)
 WORKSPACES = ("studio-a", "studio-b", "licences")
-CALLER_PATIENCE_S = 60.0
+CALLER_TIMEOUT_S = 60.0
 POLL_INTERVAL_S = 0.2
 
 
@@ -174,7 +174,7 @@
         scenario = Scenario(
             arrivals=_draw_arrivals(plan, size, generator),
             actions=actions,
-            limits=CallerLimits(total_timeout_s=CALLER_PATIENCE_S),
+            limits=CallerLimits(total_timeout_s=CALLER_TIMEOUT_S),
             seed=self._seed,
         )
         with Cluster() as cluster:
@@ -241,7 +241,7 @@
         Arrival(generator.uniform(0.0, plan.duration_s), _draw_request(generator))
         for _ in range(plan.streams)
     ]
-    for _ in range(CRASHING_REQUESTS[size]):
+    for _ in range(CRASHING_REQUEST_COUNTS[size]):
         request = _draw_request(generator)
         crashing = attrs.evolve(request, prompt=f"{request.prompt}[[crash]]")
         arrivals.append(Arrival(generator.uniform(1.0, plan.duration_s), crashing))
@@ -275,7 +275,7 @@
 def _make_change_actions(
     plan: SoakPlan, size: Size, deployment: Deployment
 ) -> list[TimedAction]:
-    count = CONFIGURATION_CHANGES[size]
+    count = CONFIGURATION_CHANGE_COUNTS[size]
     interval_s = plan.duration_s / (count + 1)
     return [
         TimedAction(interval_s * (number + 1), _make_change(deployment, number))
--- a/packages/standins/src/ebonyhaven_standins/bench/configuration.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/configuration.py
@@ -24,7 +24,7 @@
 DEFAULT_CHANGES = 10
 IN_FORCE_TIMEOUT_S = 60.0
 LOG_POLL_INTERVAL_S = 0.01
-SETTLE_S = 2.0
+SETTLING_TIME_S = 2.0
 TABLE_LOAD_DURATION_S = 20.0
 IN_FORCE_TARGET_S = 3.0
 IN_FORCE_BOUND_S = 9.0
@@ -150,7 +150,7 @@
         cluster.start_node(name, platform_address=address, wait=False)
     cluster.wait_until_ready()
     _wait_for_all(cluster, names, version)
-    time.sleep(SETTLE_S)
+    time.sleep(SETTLING_TIME_S)
 
 
 def _measure_change(
@@ -164,7 +164,7 @@
     in_force_at = _wait_for_all(cluster, names, version)
     if condition is TableFault.OUTAGE:
         cluster.platform.set_faults(outage=False)
-    time.sleep(SETTLE_S)
+    time.sleep(SETTLING_TIME_S)
     return in_force_at - started_at
 
 
--- a/packages/standins/src/ebonyhaven_standins/bench/load.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/load.py
@@ -42,10 +42,12 @@
 
 SCHEDULING_ALGORITHMS = ("fair", "round_robin", "least_connections")
 ENGINE_COUNT = 20
-ENGINE_CAPACITY = 8
-STEP_MS = 40.0
-FULL_STEP_MS = 56.0
-CAPACITY_TOKENS_PER_S = ENGINE_COUNT * ENGINE_CAPACITY / (FULL_STEP_MS / 1000.0)
+ENGINE_CAPACITY_STREAMS = 8
+MIN_DECODE_STEP_MS = 40.0
+FULL_BATCH_DECODE_STEP_MS = 56.0
+CAPACITY_TOKENS_PER_S = (
+    ENGINE_COUNT * ENGINE_CAPACITY_STREAMS / (FULL_BATCH_DECODE_STEP_MS / 1000.0)
+)
 DATA_CENTRES = ("ba-petrzalka", "ba-ruzinov", "tt-hall")
 CLASSES = {
     LOOK_UP: {
@@ -75,7 +77,7 @@
 LARGE_WORKSPACE_LOAD_SHARE = 1.0
 DRAIN_S = 25.0
 WARM_UP_S = 6.0
-SETTLE_S = 3.0
+SETTLING_TIME_S = 3.0
 RUN_TIMEOUT_S = 180.0
 SHORT_LOADS = (0.8, 2.0)
 FULL_LOADS = (0.5, 0.8, 1.0, 1.3, 2.0)
@@ -348,11 +350,11 @@
             data_centre=DATA_CENTRES[index % len(DATA_CENTRES)],
             options=(
                 "--capacity",
-                str(ENGINE_CAPACITY),
+                str(ENGINE_CAPACITY_STREAMS),
                 "--step-ms",
-                str(STEP_MS),
+                str(MIN_DECODE_STEP_MS),
                 "--full-step-ms",
-                str(FULL_STEP_MS),
+                str(FULL_BATCH_DECODE_STEP_MS),
                 "--max-waiting",
                 "256",
             ),
@@ -372,7 +374,7 @@
         node_settings={"scheduling": scheduling},
     )
     start_deployment(cluster, deployment)
-    time.sleep(SETTLE_S)
+    time.sleep(SETTLING_TIME_S)
 
 
 @attrs.frozen(kw_only=True)
--- a/packages/standins/src/ebonyhaven_standins/bench/membership.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/membership.py
@@ -28,7 +28,7 @@
 
 SIZES = (3, 6, 12, 24, 48)
 TARGET_SIZE = 390
-SETTLE_S = 12.0
+SETTLING_TIME_S = 12.0
 MESSAGE_LOSS_SHARE = 0.01
 MAX_BYTES_PER_S = 2048.0
 MAX_CPU_SHARE = 0.014
@@ -127,8 +127,8 @@
     suspicions: list[FalseSuspicions] = []
     for size in sizes:
         with node_set(size) as nodes:
-            nodes.wait_for_agreement()
-            time.sleep(SETTLE_S)
+            nodes.wait_for_convergence()
+            time.sleep(SETTLING_TIME_S)
             costs.append(measure_idle_cost(nodes, idle_s))
             print(json.dumps(costs[-1]), flush=True)
             if kills:
@@ -136,7 +136,7 @@
                 print(json.dumps(detections[-1]), flush=True)
         if faults_s:
             with node_set(size, loss=MESSAGE_LOSS_SHARE) as nodes:
-                nodes.wait_for_agreement()
+                nodes.wait_for_convergence()
                 suspicions.append(measure_false_suspicions(nodes, faults_s, rng))
                 print(json.dumps(suspicions[-1]), flush=True)
     fits = fit_costs(costs)
--- a/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
@@ -43,9 +43,9 @@
 )
 from ebonyhaven_standins.resuming._engines import EngineFleet
 
-TARGET_LATENCY_S = 4.5
-TARGET_GAP_S = 0.7
-TIMEOUT_S = 25.0
+FIRST_EVENT_TARGET_S = 4.5
+EVENT_GAP_TARGET_S = 0.7
+STREAM_TIMEOUT_S = 25.0
 ENGINE_MEMORY_TOKENS = 88_000
 PROMPT_TOKENS = 8000
 PROMPT_TOKENS_SPREAD_SHARE = 0.3
@@ -171,8 +171,8 @@
         return (
             self.is_complete
             and not self.restarts
-            and self.first_event_s <= TARGET_LATENCY_S
-            and self.max_gap_s <= TARGET_GAP_S
+            and self.first_event_s <= FIRST_EVENT_TARGET_S
+            and self.max_gap_s <= EVENT_GAP_TARGET_S
         )
 
     def poll(self, now: float) -> None:
@@ -289,7 +289,7 @@
         end : float
             Time after which no stream starts, simulated seconds.
         """
-        is_timed_out = self._reactor.seconds() >= end + TIMEOUT_S
+        is_timed_out = self._reactor.seconds() >= end + STREAM_TIMEOUT_S
         return not is_timed_out and not all(item.is_finished for item in self._streams)
 
     def _update_entry(self, entry: BackendEntry) -> None:
@@ -363,9 +363,9 @@
         host=HOST,
         path_prefix=PATH,
         kind=RequestKind.STREAM,
-        timeout_s=TIMEOUT_S,
-        target_latency_s=TARGET_LATENCY_S,
-        target_gap_s=TARGET_GAP_S,
+        timeout_s=STREAM_TIMEOUT_S,
+        target_latency_s=FIRST_EVENT_TARGET_S,
+        target_gap_s=EVENT_GAP_TARGET_S,
         priority=1,
         shares=(ServiceShare("engines", 1.0),),
         max_attempts=5,
--- a/packages/standins/src/ebonyhaven_standins/slopes/_capacity.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_capacity.py
@@ -52,7 +52,7 @@
         return self.limit is None or self.compute(values) <= self.limit
 
 
-def _control_state_mb(values: Values) -> float:
+def _compute_control_state_mb(values: Values) -> float:
     return (
         target.INSTANCES * values["peer_state"]
         + target.BACKEND_SERVERS * values["server_state"]
@@ -61,42 +61,44 @@
     ) / 1e6
 
 
-def _reader_list_cpu_percent(values: Values) -> float:
+def _compute_list_reader_cpu_percent(values: Values) -> float:
     cpu_us_per_read = target.LIST_ENTRIES * values["list_cpu"]
-    return cpu_us_per_read / target.LIST_READER_PERIOD_S / 1e4
+    return cpu_us_per_read / target.LIST_READER_INTERVAL_S / 1e4
 
 
-def _scrape_cpu_percent(values: Values) -> float:
+def _compute_scrape_cpu_percent(values: Values) -> float:
     return target.WORKSPACES * values["scrape_cpu"] / target.SCRAPE_PERIOD_S / 1e4
 
 
-def _control_cpu_percent(values: Values) -> float:
+def _compute_control_cpu_percent(values: Values) -> float:
     return (
         values["rest_cpu"]
         + values["membership_cpu"] / 1e4
-        + _scrape_cpu_percent(values)
+        + _compute_scrape_cpu_percent(values)
     )
 
 
-def _membership_bytes_per_s(values: Values) -> float:
+def _compute_membership_bytes_per_s(values: Values) -> float:
     digest_bytes = values["membership_messages"] * target.HEARTBEAT_DIGEST_BYTES
     return values["membership_bytes"] + digest_bytes
 
 
-def _reader_list_bytes_per_s(values: Values) -> float:
+def _compute_list_reader_bytes_per_s(values: Values) -> float:
     bytes_per_read = target.LIST_ENTRIES * values["list_bytes"]
-    return bytes_per_read / target.LIST_READER_PERIOD_S
+    return bytes_per_read / target.LIST_READER_INTERVAL_S
 
 
-def _mean_list_bytes_per_s(values: Values) -> float:
+def _compute_mean_list_bytes_per_s(values: Values) -> float:
     reader_bytes_per_s = (
-        _reader_list_bytes_per_s(values) * target.LIST_READERS / target.INSTANCES
+        _compute_list_reader_bytes_per_s(values)
+        * target.LIST_READER_COUNT
+        / target.INSTANCES
     )
     bytes_per_read = target.LIST_ENTRIES * values["list_bytes"]
-    return reader_bytes_per_s + bytes_per_read / target.LIST_REPAIR_PERIOD_S
+    return reader_bytes_per_s + bytes_per_read / target.LIST_REPAIR_INTERVAL_S
 
 
-def _configuration_bytes_per_s(values: Values) -> float:
+def _compute_configuration_bytes_per_s(values: Values) -> float:
     return (
         values["declaration_bytes"]
         * target.CONFIGURATION_CHANGES_PER_DAY
@@ -104,14 +106,14 @@
     )
 
 
-def _table_reads_per_s(values: Values) -> float:
+def _compute_table_reads_per_s(values: Values) -> float:
     configuration_reads = (
         target.CLUSTER_CONFIGURATION_READS_PER_S * values["rest_reads"]
     )
     return configuration_reads + target.MODELS * values["pool_reads"]
 
 
-def _claim_writes_per_s(_: Values) -> float:
+def _compute_claim_writes_per_s(_: Values) -> float:
     return target.REQUESTS_PER_S * target.NOT_REPEATABLE_REQUEST_SHARE
 
 
@@ -122,7 +124,7 @@
         "730 × backend server",
         "MB",
         lambda v: target.BACKEND_SERVERS * v["server_state"] / 1e6,
-        target.CONTROL_MEMORY_MB,
+        target.MAX_CONTROL_MEMORY_MB,
     ),
     CapacityLine(
         "entry and routing",
@@ -132,7 +134,7 @@
         lambda v: (
             target.WORKSPACES * (v["workspace_state"] + v["workspace_metrics"]) / 1e6
         ),
-        target.CONTROL_MEMORY_MB,
+        target.MAX_CONTROL_MEMORY_MB,
     ),
     CapacityLine(
         "entry and routing",
@@ -192,7 +194,7 @@
         "512 × (run + 211 × token)",
         "MB",
         lambda v: (
-            target.KEPT_RUNS
+            target.KEPT_RUNS_PER_NODE
             * (v["key_memory"] + target.MEAN_ANSWER_TOKENS * v["token_memory"])
             / 1e6
         ),
@@ -203,7 +205,7 @@
         "390 × peer",
         "MB",
         lambda v: target.INSTANCES * v["peer_state"] / 1e6,
-        target.CONTROL_MEMORY_MB,
+        target.MAX_CONTROL_MEMORY_MB,
     ),
     CapacityLine(
         "membership",
@@ -211,15 +213,15 @@
         "at 390",
         "% of a core",
         lambda v: v["membership_cpu"] / 1e4,
-        target.CONTROL_CPU_PERCENT,
+        target.MAX_CONTROL_CPU_PERCENT,
     ),
     CapacityLine(
         "membership",
         "messages with full digests",
         "at 390 + messages × 64",
         "bytes/s",
-        _membership_bytes_per_s,
-        target.CONTROL_BYTES_PER_S,
+        _compute_membership_bytes_per_s,
+        target.MAX_CONTROL_BYTES_PER_S,
     ),
     CapacityLine(
         "membership",
@@ -234,7 +236,7 @@
         "at 56 of 390",
         "bytes/s",
         lambda v: v["loss_bytes"],
-        target.CONTROL_BYTES_PER_S,
+        target.MAX_CONTROL_BYTES_PER_S,
     ),
     CapacityLine(
         "configuration",
@@ -242,39 +244,39 @@
         "at 920",
         "bytes",
         lambda v: v["declaration_bytes"],
-        target.TABLE_VALUE_BYTES,
+        target.MAX_TABLE_VALUE_BYTES,
     ),
     CapacityLine(
         "configuration",
         "changes received",
         "520 a day × row",
         "bytes/s",
-        _configuration_bytes_per_s,
-        target.CONTROL_BYTES_PER_S,
+        _compute_configuration_bytes_per_s,
+        target.MAX_CONTROL_BYTES_PER_S,
     ),
     CapacityLine(
         "platform client",
         "list received, on average",
         "1,120 entries, 2 readers each 2.6 s, all each 780 s",
         "bytes/s",
-        _mean_list_bytes_per_s,
-        target.CONTROL_BYTES_PER_S,
+        _compute_mean_list_bytes_per_s,
+        target.MAX_CONTROL_BYTES_PER_S,
     ),
     CapacityLine(
         "platform client",
         "list received, a reader in its minute",
         "1,120 entries every 2.6 s",
         "bytes/s",
-        _reader_list_bytes_per_s,
-        target.CONTROL_BYTES_PER_S,
+        _compute_list_reader_bytes_per_s,
+        target.MAX_CONTROL_BYTES_PER_S,
     ),
     CapacityLine(
         "platform client",
         "list read, a reader in its minute",
         "1,120 entries every 2.6 s",
         "% of a core",
-        _reader_list_cpu_percent,
-        target.CONTROL_CPU_PERCENT,
+        _compute_list_reader_cpu_percent,
+        target.MAX_CONTROL_CPU_PERCENT,
     ),
     CapacityLine(
         "platform client",
@@ -282,7 +284,7 @@
         "1,120 × entry",
         "MB",
         lambda v: target.LIST_ENTRIES * v["list_state"] / 1e6,
-        target.CONTROL_MEMORY_MB,
+        target.MAX_CONTROL_MEMORY_MB,
     ),
     CapacityLine(
         "lease holder and placement",
@@ -290,7 +292,7 @@
         "10 pools",
         "reads/s",
         lambda v: target.MODELS * v["pool_reads"],
-        target.TABLE_READS_PER_S,
+        target.MAX_TABLE_READS_PER_S,
     ),
     CapacityLine(
         "lease holder and placement",
@@ -298,62 +300,62 @@
         "10 pools",
         "writes/s",
         lambda v: target.MODELS * v["pool_writes"],
-        target.TABLE_WRITES_PER_S,
+        target.MAX_TABLE_WRITES_PER_S,
     ),
     CapacityLine(
         "table",
         "reads of all nodes",
         "100 × reads at rest + 10 pools",
         "reads/s",
-        _table_reads_per_s,
-        target.TABLE_READS_PER_S,
+        _compute_table_reads_per_s,
+        target.MAX_TABLE_READS_PER_S,
     ),
     CapacityLine(
         "table",
         "claims, one request in ten not repeatable",
         "710 requests/s, one write each",
         "writes/s",
-        _claim_writes_per_s,
-        target.TABLE_WRITES_PER_S,
+        _compute_claim_writes_per_s,
+        target.MAX_TABLE_WRITES_PER_S,
     ),
     CapacityLine(
         "list of instances",
         "bytes served to all nodes",
         "390 × list received on average",
         "MB/s",
-        lambda v: target.INSTANCES * _mean_list_bytes_per_s(v) / 1e6,
+        lambda v: target.INSTANCES * _compute_mean_list_bytes_per_s(v) / 1e6,
     ),
     CapacityLine(
         "a node, control",
         "processor time",
         "rest + membership at 390 + a scrape every 15 s",
         "% of a core",
-        _control_cpu_percent,
-        target.CONTROL_CPU_PERCENT,
+        _compute_control_cpu_percent,
+        target.MAX_CONTROL_CPU_PERCENT,
     ),
     CapacityLine(
         "a node, control",
         "state alone",
         "peers + backend servers + workspaces + list",
         "MB",
-        _control_state_mb,
-        target.CONTROL_MEMORY_MB,
+        _compute_control_state_mb,
+        target.MAX_CONTROL_MEMORY_MB,
     ),
     CapacityLine(
         "a node, control",
         "state and a node at rest above its libraries",
         "state + (at rest − libraries)",
         "MB",
-        lambda v: _control_state_mb(v) + v["node_at_rest"] - v["libraries"],
-        target.CONTROL_MEMORY_MB,
+        lambda v: _compute_control_state_mb(v) + v["node_at_rest"] - v["libraries"],
+        target.MAX_CONTROL_MEMORY_MB,
     ),
     CapacityLine(
         "a node, control",
         "state and the whole process at rest",
         "state + at rest",
         "MB",
-        lambda v: _control_state_mb(v) + v["node_at_rest"],
-        target.CONTROL_MEMORY_MB,
+        lambda v: _compute_control_state_mb(v) + v["node_at_rest"],
+        target.MAX_CONTROL_MEMORY_MB,
     ),
     CapacityLine(
         "a node, control",
@@ -361,11 +363,11 @@
         "2 × messages with full digests + list + changes",
         "bytes/s",
         lambda v: (
-            2 * _membership_bytes_per_s(v)
-            + _mean_list_bytes_per_s(v)
-            + _configuration_bytes_per_s(v)
+            2 * _compute_membership_bytes_per_s(v)
+            + _compute_mean_list_bytes_per_s(v)
+            + _compute_configuration_bytes_per_s(v)
         ),
-        target.CONTROL_BYTES_PER_S,
+        target.MAX_CONTROL_BYTES_PER_S,
     ),
 )
 
--- a/packages/standins/src/ebonyhaven_standins/slopes/_idle_nodes.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_idle_nodes.py
@@ -20,7 +20,7 @@
 INSTANCE_COUNTS = (3, 6, 9)
 POOL_COUNTS = (1, 5, 10)
 POOL_INSTANCES = 3
-SETTLING_S = 8.0
+SETTLING_TIME_S = 8.0
 WINDOW_S = 16.0
 _SENT_BYTES_PATTERN = re.compile(
     r'^ebonyhaven_control_bytes_total\{direction="sent"\} (\S+)$', re.MULTILINE
@@ -103,7 +103,7 @@
                 "checks_fence": True,
             }
         cluster.declare(declaration)
-        time.sleep(SETTLING_S)
+        time.sleep(SETTLING_TIME_S)
         first = _UsageSample(cluster, names)
         time.sleep(WINDOW_S)
         return first, _UsageSample(cluster, names)
--- a/packages/standins/src/ebonyhaven_standins/slopes/_losses.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_losses.py
@@ -13,7 +13,7 @@
 
 INSTANCES = 390
 RACK_INSTANCES = 10
-SETTLING_S = 3.0
+SETTLING_TIME_S = 3.0
 STEP_S = 0.25
 CONVERGENCE_LIMIT_S = 30.0
 PARTITION_S = 30.0
@@ -59,7 +59,7 @@
     points = []
     for count in PARTITION_INSTANCE_COUNTS:
         simulation = MembershipSimulation(count)
-        simulation.run(SETTLING_S)
+        simulation.run(SETTLING_TIME_S)
         simulation.partitioned_regions.add(frozenset({"region-0", "region-1"}))
         simulation.run(PARTITION_S)
         simulation.partitioned_regions.clear()
@@ -87,7 +87,7 @@
 
 def _measure_loss(names: set[str]) -> Convergence:
     simulation = MembershipSimulation(INSTANCES)
-    simulation.run(SETTLING_S)
+    simulation.run(SETTLING_TIME_S)
     simulation.stopped |= names
     return _measure_convergence(
         simulation, lambda s, lost: s.count_diverging_views(lost, FAILED_STATES), names
--- a/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
@@ -26,7 +26,7 @@
 from ebonyhaven_standins.slopes._quantities import Measurement, make_measurement
 
 INSTANCE_COUNTS = (9, 50, 150, 390)
-SETTLING_S = 10.0
+SETTLING_TIME_S = 10.0
 WINDOW_S = 10.0
 NETWORK_DELAY_S = 0.002
 TICK = "tick"
@@ -205,7 +205,7 @@
     points: dict[str, list[Point]] = {"messages": [], "bytes": [], "cpu": []}
     for count in INSTANCE_COUNTS:
         simulation = MembershipSimulation(count)
-        simulation.run(SETTLING_S)
+        simulation.run(SETTLING_TIME_S)
         traffic = simulation.run(WINDOW_S)
         per_instance_second = 1.0 / (count * WINDOW_S)
         points["messages"].append(Point(count, traffic.messages * per_instance_second))
--- a/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
@@ -31,13 +31,13 @@
 OPENING_TIMEOUT_S = 30.0
 PROMPT_CHARACTERS = 400
 DECODE_STEP_MS = 50
-_NODE = "n1"
+_NODE_NAME = "n1"
 
 
 def _make_deployment(engines: int, *options: str) -> Deployment:
     return Deployment(
         region="r1",
-        instances={_NODE: "dc-a"},
+        instances={_NODE_NAME: "dc-a"},
         engines=[
             ServerSpec(name=f"s{number}", data_centre="dc-a", options=options)
             for number in range(engines)
@@ -59,7 +59,7 @@
 def _make_caller(reactor: Any, cluster: Cluster) -> Caller:
     return Caller(
         reactor=reactor,
-        bootstrap_addresses=[cluster.addresses[_NODE]],
+        bootstrap_addresses=[cluster.addresses[_NODE_NAME]],
         history=HistoryWriter(pathlib.Path("/dev/null")),
         generator=random.Random(1),
     )
@@ -91,7 +91,7 @@
 
 
 async def _run_batch(reactor: Any, cluster: Cluster, tokens: int) -> float:
-    process_id = cluster.child(_NODE).process_id
+    process_id = cluster.child(_NODE_NAME).process_id
     caller = _make_caller(reactor, cluster)
     before = read_processor_s(process_id)
     number = random.getrandbits(32)
@@ -112,7 +112,7 @@
     async def run(reactor: Any) -> None:
         with Cluster() as cluster:
             start_deployment(cluster, _make_deployment(ENGINE_COUNT, *options))
-            process_id = cluster.child(_NODE).process_id
+            process_id = cluster.child(_NODE_NAME).process_id
             caller = _make_caller(reactor, cluster)
             opened = 0
             for count in OPEN_STREAM_COUNTS:
