--- a/packages/standins/src/ebonyhaven_standins/bench/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/__main__.py
@@ -19,9 +19,17 @@
 
 def main(
     *,
-    short: Annotated[bool, typer.Option("--short", help="Few seeds.")] = False,
-    full: Annotated[bool, typer.Option("--full", help="All seeds.")] = False,
-    only: Annotated[list[str] | None, typer.Option(help="Names of scenarios.")] = None,
+    short: Annotated[
+        bool,
+        typer.Option("--short", help="Fewer seeds, requests and faults (default)."),
+    ] = False,
+    full: Annotated[
+        bool, typer.Option("--full", help="All seeds, requests and faults.")
+    ] = False,
+    only: Annotated[
+        list[str] | None,
+        typer.Option(help="Scenario to run; repeatable. Default: all scenarios."),
+    ] = None,
     results: Annotated[pathlib.Path, typer.Option(help="Folder.")] = RESULTS,
 ) -> None:
     """Run the scenarios, print one JSON object each and write it to a file."""
--- a/packages/standins/src/ebonyhaven_standins/bench/_load_measures.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_load_measures.py
@@ -31,12 +31,12 @@
         return self.end_s - self.begin_s
 
 
-def compute_quantile(values: Iterable[float], share: float) -> float | None:
-    """Return the quantile of the values at a share from 0 to 1; None if empty."""
+def compute_quantile(values: Iterable[float], level: float) -> float | None:
+    """Return the quantile at a level from 0 to 1; None if there are no values."""
     ordered = sorted(values)
     if not ordered:
         return None
-    return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
+    return ordered[min(int(level * len(ordered)), len(ordered) - 1)]
 
 
 def select_records(
@@ -46,7 +46,10 @@
     class_name: str | None = None,
     workspace: str | None = None,
 ) -> list[LoadRecord]:
-    """Return the records of requests that arrived in a window, filtered if given."""
+    """Return the records of requests that arrived in a window.
+
+    A class name or workspace other than None restricts them further.
+    """
     return [
         record
         for record in records
@@ -56,7 +59,7 @@
     ]
 
 
-def measure_first_token_s(records: Iterable[LoadRecord], share: float) -> float | None:
+def measure_first_token_s(records: Iterable[LoadRecord], level: float) -> float | None:
     """Return a quantile of the time from arrival to first token, seconds.
 
     Excludes requests without a token; `compute_in_target_share` includes them.
@@ -66,7 +69,7 @@
         for record in records
         if record["first_token_s"] is not None
     ]
-    quantile_s = compute_quantile(latencies_s, share)
+    quantile_s = compute_quantile(latencies_s, level)
     return None if quantile_s is None else round(quantile_s, 4)
 
 
@@ -103,7 +106,7 @@
     targets_by_class: Mapping[str, LatencyTargets],
     window: Window,
 ) -> float:
-    """Return the tokens per second in a window that belong to requests in target."""
+    """Return the tokens per second in a window, counting only requests in target."""
     tokens = sum(
         _count_window_tokens(record, window)
         for record in records
@@ -155,11 +158,11 @@
     fault_s: float,
     end_s: float,
 ) -> float | None:
-    """Return the time from a fault until arrivals are permanently in target, seconds.
+    """Return the recovery time after a fault, seconds; None without recovery.
 
-    Divides the time after the fault into steps of `RECOVERY_STEP_S`. Recovery is
-    the end of the last step in which less than `RECOVERED_IN_TARGET_SHARE` of the
-    arrivals were in target. Returns None if that step reaches `end_s`.
+    Divides the time after the fault into steps of `RECOVERY_STEP_S`. The recovery
+    time ends with the last step in which less than `RECOVERED_IN_TARGET_SHARE` of
+    the arrivals were in target. If that step reaches `end_s`, there is no recovery.
     """
     recovered_s = 0.0
     begin_s = fault_s
--- a/packages/standins/src/ebonyhaven_standins/bench/_membership_measures.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_membership_measures.py
@@ -258,7 +258,7 @@
 def measure_false_suspicions(
     nodes: NodeSet, seconds: float, rng: random.Random
 ) -> FalseSuspicions:
-    """Pause instances at random and count false suspicions of the others.
+    """Pause random instances and count suspicions about instances that run.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/bench/_node_sets.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_node_sets.py
@@ -69,7 +69,7 @@
             return MetricSamples(answer.read().decode())
 
     def count_live(self, name: str) -> int:
-        """Return the number of instances, itself included, that one regards as live.
+        """Return how many instances an instance regards as live, including itself.
 
         Parameters
         ----------
--- a/packages/standins/src/ebonyhaven_standins/bench/_open_loop.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_open_loop.py
@@ -23,7 +23,7 @@
 START_DELAY_S = 0.5
 CONNECT_TIMEOUT_S = 1.0
 SILENCE_TIMEOUT_S = 10.0
-TAIL_BYTES = 1024
+TAIL_BYTES = 1024  # end of a response, searched for its final event
 LAG_SAMPLE_INTERVAL_S = 0.05
 COMPLETED = "completed"
 ID_MARKER = b"id: "
@@ -80,7 +80,7 @@
 
 
 class _TokenCounter(Protocol):
-    """Counts and times the token events of one response."""
+    """Records the number and times of the tokens of one response, and its outcome."""
 
     def __init__(self, reactor: Any, record: LoadRecord, started_at: float) -> None:
         self._reactor = reactor
@@ -93,7 +93,8 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self._silence_timer.reset(SILENCE_TIMEOUT_S)
-        # The position event and the last event carry no token: their text is empty.
+        # Events with empty text carry no token: the one that reports the position
+        # before the first token, and the last one.
         count = data.count(TEXT_MARKER) - data.count(EMPTY_TEXT_MARKER)
         if count:
             self._record_tokens(count)
@@ -205,7 +206,7 @@
             "Ebonyhaven-Workspace": request.workspace,
             "Ebonyhaven-Class": request.class_name,
             "Idempotency-Key": key,
-            # Only requests that did not run are retried.
+            # Also true for retries: only requests that did not run are retried.
             "Ebonyhaven-First-Submission": "yes",
         }
         return self._http.post(
--- a/packages/standins/src/ebonyhaven_standins/bench/_soak.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/_soak.py
@@ -33,7 +33,7 @@
 FAULT_PAIR_SHARE = 0.3
 NOT_REPEATABLE_SHARE = 0.3
 ANALYSIS_SHARE = 0.5
-CRASHING_REQUEST_COUNTS = {"short": 1, "full": 4}
+CRASHING_REQUEST_COUNTS = {"short": 1, "full": 4}  # each crashes its engine
 CONFIGURATION_CHANGE_COUNTS = {"short": 2, "full": 8}
 LOOK_UP_TOKENS_RANGE = (8, 60)
 ANALYSIS_TOKENS_RANGE = (80, 240)
@@ -294,7 +294,8 @@
                 TimelineKind.CONFIGURATION_ACCEPTED, "operator", version=version
             )
         )
-        # While the platform is down, acceptance is unknown and not recorded.
+        # If the call fails, for example in a platform outage, it is unknown whether
+        # the declaration was accepted; nothing is recorded.
         acceptance.addErrback(lambda _: None)
 
     return change
--- a/packages/standins/src/ebonyhaven_standins/bench/configuration.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/configuration.py
@@ -207,7 +207,7 @@
                 if logged >= version:
                     return at
         time.sleep(LOG_POLL_INTERVAL_S)
-    raise TimeoutError(f"version {version} is not in force on {names}")
+    raise TimeoutError(f"version {version} is not in force on any of {names}")
 
 
 def _has_reverted(cluster: Cluster, name: str) -> bool:
@@ -215,9 +215,9 @@
     return versions != sorted(set(versions))
 
 
-def _compute_quantile(values: list[float], share: float) -> float:
+def _compute_quantile(values: list[float], level: float) -> float:
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(level * len(ordered)))]
 
 
 def measure_all(*, instances: int, changes: int) -> dict[str, Any]:
--- a/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/decision_costs.py
@@ -44,8 +44,8 @@
     """Median processor time of the decisions at one size, microseconds.
 
     ``request_us`` covers a request that finds free capacity: submission, queueing,
-    routing, accounting and completion. ``admission_us`` covers a request behind a
-    backlog, from its submission to the admission decision.
+    routing, accounting and completion. ``admission_us`` covers a request that is
+    submitted while others are queued, up to its admission decision.
     """
 
     servers: int
@@ -127,8 +127,8 @@
     return _compute_us_per_decision(started)
 
 
-def _compute_us_per_decision(started: float) -> float:
-    return (time.process_time() - started) / DECISIONS_PER_ROUND * 1e6
+def _compute_us_per_decision(started_s: float) -> float:
+    return (time.process_time() - started_s) / DECISIONS_PER_ROUND * 1e6
 
 
 def _build_loaded_scheduler(servers: int, *, running: int) -> Scheduler:
--- a/packages/standins/src/ebonyhaven_standins/bench/load.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/load.py
@@ -43,7 +43,7 @@
 SCHEDULING_ALGORITHMS = ("fair", "round_robin", "least_connections")
 ENGINE_COUNT = 20
 ENGINE_CAPACITY_STREAMS = 8
-MIN_DECODE_STEP_MS = 40.0
+MIN_DECODE_STEP_MS = 40.0  # with one stream
 FULL_BATCH_DECODE_STEP_MS = 56.0
 CAPACITY_TOKENS_PER_S = (
     ENGINE_COUNT * ENGINE_CAPACITY_STREAMS / (FULL_BATCH_DECODE_STEP_MS / 1000.0)
@@ -64,13 +64,13 @@
         "default": True,
     },
 }
-# The first-token target includes the time that a request may wait.
+# The first-token targets are the sums of first_token_ms and may_wait_ms of `CLASSES`.
 LATENCY_TARGETS = {
     LOOK_UP: LatencyTargets(0.5, 0.062),
     ANALYSIS: LatencyTargets(5.0, 0.1),
 }
 LOOK_UP_RATE_PER_S = 12.5
-LOOK_UP_TOKENS_PER_S = LOOK_UP_RATE_PER_S * 16
+LOOK_UP_TOKENS_PER_S = LOOK_UP_RATE_PER_S * 16  # mean of `LOOK_UP_TOKENS_RANGE`
 SMALL_WORKSPACE = "small-a"
 LARGE_WORKSPACE = "large-a"
 SMALL_WORKSPACE_LOAD_SHARE = 0.03
@@ -170,7 +170,7 @@
 def measure_load(
     deployment: DeploymentUnderTest, load: float, seed: int, phase_s: float
 ) -> dict[str, Any]:
-    """Measure look-ups alone, then with analyses that fill up the offered load.
+    """Measure look-ups alone, then with analyses up to the offered load.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/resuming/__main__.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/__main__.py
@@ -37,7 +37,7 @@
 
 
 def plot_results(results: list[ExperimentResult], path: pathlib.Path) -> None:
-    """Plot the share of streams that meet the targets over the arrival rate.
+    """Plot the share of streams that meet the targets against the arrival rate.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_engines.py
@@ -12,11 +12,11 @@
 from ebonyhaven_standins.memory_connections import MemoryServerConnection
 
 PREFILL_TOKENS_PER_S = 8000.0
-FIRST_EVENT_DELAY_S = 0.1
+FIRST_EVENT_DELAY_S = 0.1  # from the end of the prefill
 EVENT_INTERVAL_S = 0.026  # six tokens at 4.4 ms each
 PREFILL_SLOWDOWN_FACTOR = 4.0  # of the event interval during a prefill
 COPY_INTERVAL_S = 0.25
-COPY_RESUME_DELAY_S = 0.02
+COPY_RESUME_DELAY_S = 0.02  # from the request to the first event; no prefill
 TOKENS_PER_EVENT = 6
 LISTING_DELAY_S = 0.3  # from a restart until the engine is listed
 
@@ -109,7 +109,7 @@
         )
 
     def copy_run(self, request_id: str, target: SimulatedEngine) -> bool:
-        """Copy the memory of a run to another engine.
+        """Copy the key-value cache of a run to another engine.
 
         Only the tokens that the target's copy lacks are transferred.
 
@@ -207,7 +207,7 @@
 
 
 class EngineFleet(RunCopier):
-    """All engines, with counters of the tokens copied and prefilled again.
+    """All engines, with counters of copied tokens and of repeated prefill tokens.
 
     Parameters
     ----------
@@ -221,7 +221,7 @@
     Attributes
     ----------
     copied_tokens : int
-        Tokens whose memory was copied between engines.
+        Tokens whose key-value cache was copied between engines.
     repeated_prefill_tokens : int
         Prompt tokens of resumed runs that were prefilled again.
     """
--- a/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
+++ b/packages/standins/src/ebonyhaven_standins/resuming/_experiment.py
@@ -1,4 +1,4 @@
-"""Streams while all engines of one data centre after another crash."""
+"""Simulation of streams while data centres lose all their engines in turn."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
         Percentiles and maximum of the longest gap between events, over the streams
         with a gap of more than 0.2 s. Shorter gaps do not count as interruptions.
     moved_tokens : int
-        Tokens whose memory was copied between engines.
+        Tokens whose key-value cache was copied between engines.
     read_again_tokens : int
         Prompt tokens that were prefilled again.
     """
@@ -143,7 +143,7 @@
 
 
 class _Stream:
-    """One stream from the caller's side, restarted after a lost connection."""
+    """Caller of one stream; sends a new request when the connection is aborted."""
 
     def __init__(
         self, gateway: Gateway, request_id: str, prompt_tokens: int, now: float
@@ -167,7 +167,7 @@
 
     @property
     def meets_targets(self) -> bool:
-        """Whether the stream completed without a restart and met the target times."""
+        """Whether the stream completed without a restart and met both targets."""
         return (
             self.is_complete
             and not self.restarts
--- a/packages/standins/src/ebonyhaven_standins/slopes/_capacity.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_capacity.py
@@ -63,6 +63,7 @@
 
 def _compute_list_reader_cpu_percent(values: Values) -> float:
     cpu_us_per_read = target.LIST_ENTRIES * values["list_cpu"]
+    # 1e4 microseconds of processor time per second are 1 % of a core.
     return cpu_us_per_read / target.LIST_READER_INTERVAL_S / 1e4
 
 
--- a/packages/standins/src/ebonyhaven_standins/slopes/_fits.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_fits.py
@@ -18,8 +18,8 @@
 class Fit(NamedTuple):
     """A straight line.
 
-    ``error_percent`` is the standard error of the slope in percent of the slope, or
-    the error that `fit_mean` describes.
+    ``error_percent`` is the standard error of the slope in percent of the slope. For
+    a line from `fit_mean`, it is half the range of the values in percent of the mean.
     """
 
     slope: float
--- a/packages/standins/src/ebonyhaven_standins/slopes/_idle_nodes.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_idle_nodes.py
@@ -28,7 +28,7 @@
 
 
 def make_deployment(instances: int) -> Deployment:
-    """Return a deployment of ``instances`` instances and two engines."""
+    """Return a deployment with the given number of instances and two engines."""
     return Deployment(
         region="r1",
         instances={f"n{number}": f"dc-{number % 3}" for number in range(instances)},
--- a/packages/standins/src/ebonyhaven_standins/slopes/_kept_runs.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_kept_runs.py
@@ -11,7 +11,7 @@
 KEY_COUNTS = (50, 100, 200, 400)
 TOKEN_COUNTS = (1000, 2000, 4000, 8000)
 PROMPT_CHARACTERS = 400
-TOKENS_PER_RUN = 0
+TOKENS_PER_RUN = 0  # the memory of tokens is measured separately
 
 
 def _build_run(number: int, tokens: int) -> object:
--- a/packages/standins/src/ebonyhaven_standins/slopes/_losses.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_losses.py
@@ -25,6 +25,7 @@
 class Convergence(NamedTuple):
     """Time until all membership views converge, and the traffic until then.
 
+    ``seconds`` is `CONVERGENCE_LIMIT_S` if they do not converge before.
     ``messages`` is the mean number of messages that a running instance sends;
     ``bytes_per_s`` its mean send rate in the busiest `STEP_S` interval.
     """
@@ -35,7 +36,7 @@
 
 
 def measure_losses() -> list[Measurement]:
-    """Measure the loss of one instance, of a rack and of a data centre."""
+    """Measure convergence after the loss of an instance, a rack and a data centre."""
     results = [_measure_loss(names) for names in _choose_lost_instances()]
     sizes = [len(names) for names in _choose_lost_instances()]
     return [
--- a/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
@@ -110,7 +110,7 @@
     def count_diverging_views(
         self, subjects: set[str], states: Container[MemberState]
     ) -> int:
-        """Return how many running instances see a subject outside the given states.
+        """Return how many running instances have a subject in none of the given states.
 
         Parameters
         ----------
@@ -182,7 +182,11 @@
 
 
 def count_wire_bytes(view: Membership, envelope: Envelope) -> int:
-    """Return the size of an encoded message on the wire in bytes."""
+    """Return the size of an encoded message on the wire in bytes.
+
+    Heartbeats are encoded without digests; `HEARTBEAT_DIGEST_BYTES` of the target
+    scale accounts for these.
+    """
     from ebonyhaven_node._frames import NNG_HEADER_BYTES, Frame, encode_frame
     from ebonyhaven_node._membership_codec import (
         KIND_BY_MESSAGE_TYPE,
--- a/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_processor.py
@@ -35,7 +35,7 @@
 
 
 def measure_messages() -> list[Measurement]:
-    """Measure heartbeats between two `Channels` objects of one process."""
+    """Measure the processor time of a heartbeat, sent and received in one process."""
     points: list[Point] = []
 
     async def run(reactor: Any) -> None:
@@ -78,7 +78,7 @@
 
 
 def measure_routing() -> list[Measurement]:
-    """Measure admission, queueing and routing per request of one model."""
+    """Measure the processor time to admit, queue and route a request."""
     targets = {
         "look-up": ClassTargets(500, 62, 1000),
         "analysis": ClassTargets(8000, 100, 2000, 60000),
@@ -119,7 +119,7 @@
 
 
 def measure_scrape() -> list[Measurement]:
-    """Measure the rendering of the metrics per workspace."""
+    """Measure the processor time to render the metrics, per workspace."""
     from ebonyhaven_node._metrics import RelayMetrics
 
     points = []
--- a/packages/standins/src/ebonyhaven_standins/slopes/_quantities.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_quantities.py
@@ -10,7 +10,7 @@
 
 
 class Reading(enum.Enum):
-    """Which part of the fit or which point is the value of a quantity."""
+    """Parameter of the fit, or measured point, that is the value of a quantity."""
 
     SLOPE = "slope"
     INTERCEPT = "intercept"
--- a/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
@@ -69,7 +69,7 @@
     """Measure processor time per token and per request, at the engines' token rate.
 
     Both values come from one fit: the slope and the intercept of the processor time
-    per request over the length of the answers.
+    per request against the length of the answers.
     """
     points: list[Point] = []
 
--- a/packages/standins/src/ebonyhaven_standins/slopes/_target.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_target.py
@@ -23,8 +23,8 @@
 MAX_TABLE_VALUE_BYTES = 65_536.0
 WHOLE_CORE_PERCENT = 100.0
 
-# Long answers take two minutes at the target gap between tokens. The length of the
-# short ones follows from the mean.
+# Long answers take two minutes at `TOKEN_GAP_S`. The length of short answers is
+# chosen so that the mean over all answers is `MEAN_ANSWER_TOKENS`.
 LONG_ANSWER_SHARE = 0.08
 LONG_ANSWER_TOKENS = 2000.0
 MEAN_ANSWER_TOKENS = TOKENS_PER_S / REQUESTS_PER_S
@@ -33,11 +33,13 @@
 )
 NOT_REPEATABLE_REQUEST_SHARE = 0.1
 KEPT_RUNS_PER_NODE = 512
+# In a large cluster, two instances at a time poll the platform's list frequently. The
+# others read it at an interval proportional to the number of instances.
 LIST_READER_COUNT = 2.0
 LIST_READER_INTERVAL_S = 2.55  # mean of the jittered 3 s interval
 LIST_REPAIR_INTERVAL_S = 2.0 * INSTANCES
 CLUSTER_CONFIGURATION_READS_PER_S = 100.0  # total of all instances
-HEARTBEAT_DIGEST_BYTES = 64.0
+HEARTBEAT_DIGEST_BYTES = 64.0  # the simulated heartbeats carry no digests
 SCRAPE_PERIOD_S = 15.0
 
 OPEN_STREAMS_PER_NODE = TOKENS_PER_S * TOKEN_GAP_S / INSTANCES
