--- a/packages/standins/src/ebonyhaven_standins/caller/_caller.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_caller.py
@@ -103,7 +103,7 @@
         ``IP:PORT`` of instances from which to fetch the entry list.
     history : HistoryWriter
         Stores one record per request.
-    generator : random.Random
+    rng : random.Random
         Source of the jitter of the backoff.
     limits : CallerLimits
         Timeouts and backoff; by default those of `CallerLimits`.
@@ -117,7 +117,7 @@
         reactor: Any,
         bootstrap_addresses: Sequence[str],
         history: HistoryWriter,
-        generator: random.Random,
+        rng: random.Random,
         limits: CallerLimits | None = None,
         sends_received: bool = True,
     ) -> None:
@@ -129,7 +129,7 @@
             reactor=reactor, http=self._http, bootstrap_addresses=bootstrap_addresses
         )
         self._history = history
-        self._generator = generator
+        self._rng = rng
         self._sends_received = sends_received
         self.open_records: list[RequestRecord] = []
 
@@ -160,7 +160,7 @@
                 backoff_s = self._limits.initial_backoff_s
             if _is_final(result):
                 return self._finish_record(record, result.outcome)
-            wait_s = backoff_s * (0.5 + self._generator.random())
+            wait_s = backoff_s * (0.5 + self._rng.random())
             if result.retry_after_s is not None:
                 wait_s = result.retry_after_s
             if self._reactor.seconds() + wait_s > deadline:
--- a/packages/standins/src/ebonyhaven_standins/checker/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/__init__.py
@@ -12,8 +12,8 @@
 )
 from ebonyhaven_standins.checker._measures import (
     LatencySummary,
+    compute_extra_resource_ratio,
     count_unresumed,
-    measure_extra_resources,
     measure_resume_latencies,
     summarize_latencies,
 )
@@ -32,7 +32,7 @@
     "ViolationKind",
     "check",
     "count_unresumed",
-    "measure_extra_resources",
+    "compute_extra_resource_ratio",
     "measure_resume_latencies",
     "read_execution_logs",
     "summarize_latencies",
--- a/packages/standins/src/ebonyhaven_standins/checker/_branches.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_continuations.py
@@ -11,7 +11,7 @@
 _BRANCH_EVENTS = frozenset({"start", "continue"})
 
 
-def check_branches(evidence: Evidence) -> Iterator[Violation]:
+def check_continuations(evidence: Evidence) -> Iterator[Violation]:
     """Yield the answers that mix two diverged continuations of one generation.
 
     An engine that continued a run at offset M computes token K from the tokens M to
--- a/packages/standins/src/ebonyhaven_standins/checker/_measures.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_measures.py
@@ -97,7 +97,7 @@
     return None
 
 
-def measure_extra_resources(evidence: Evidence) -> float:
+def compute_extra_resource_ratio(evidence: Evidence) -> float:
     """Return the ratio of extra to required computed tokens.
 
     An answer requires the prefill of its first start and its output tokens. All
--- a/packages/standins/src/ebonyhaven_standins/checker/_report.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_report.py
@@ -6,13 +6,13 @@
 
 from ebonyhaven_standins.caller import COMPLETED
 from ebonyhaven_standins.checker._answers import check_answers
-from ebonyhaven_standins.checker._branches import check_branches
+from ebonyhaven_standins.checker._continuations import check_continuations
 from ebonyhaven_standins.checker._control import check_control_plane
 from ebonyhaven_standins.checker._logs import Evidence
 from ebonyhaven_standins.checker._measures import (
     LatencySummary,
+    compute_extra_resource_ratio,
     count_unresumed,
-    measure_extra_resources,
     measure_resume_latencies,
     summarize_latencies,
 )
@@ -94,7 +94,7 @@
     """
     violations = [
         *check_answers(evidence),
-        *check_branches(evidence),
+        *check_continuations(evidence),
         *check_runs(evidence),
         *check_control_plane(evidence),
     ]
@@ -105,5 +105,5 @@
         violations=violations,
         resume_latency=summarize_latencies(measure_resume_latencies(evidence)),
         unresumed=count_unresumed(evidence),
-        extra_resource_ratio=measure_extra_resources(evidence),
+        extra_resource_ratio=compute_extra_resource_ratio(evidence),
     )
--- a/packages/standins/src/ebonyhaven_standins/cluster/_process_set.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_process_set.py
@@ -10,7 +10,7 @@
 from types import TracebackType
 from typing import Self
 
-from ebonyhaven_standins.cluster._processes import READY_DEADLINE_S, ChildProcess
+from ebonyhaven_standins.cluster._processes import READY_TIMEOUT_S, ChildProcess
 
 
 class ProcessSet:
@@ -76,16 +76,14 @@
         if wait:
             child.wait_until_ready()
 
-    def wait_until_ready(
-        self, *names: str, deadline_s: float = READY_DEADLINE_S
-    ) -> None:
+    def wait_until_ready(self, *names: str, timeout_s: float = READY_TIMEOUT_S) -> None:
         """Block until the given processes are ready.
 
         Parameters
         ----------
         *names : str
             Names of the processes; all if empty.
-        deadline_s : float
+        timeout_s : float
             Timeout for each process in seconds.
 
         Raises
@@ -94,7 +92,7 @@
             If a process exited or was not ready in time.
         """
         for name in names or tuple(self._children):
-            self._children[name].wait_until_ready(deadline_s)
+            self._children[name].wait_until_ready(timeout_s)
 
     def child(self, name: str) -> ChildProcess:
         """Return the process with a name."""
--- a/packages/standins/src/ebonyhaven_standins/cluster/_processes.py
+++ b/packages/standins/src/ebonyhaven_standins/cluster/_processes.py
@@ -11,8 +11,8 @@
 from ebonyhaven_standins.cluster._exceptions import ProcessError
 
 READY_LINE = "ready"
-READY_DEADLINE_S = 60.0
-STOP_DEADLINE_S = 30.0
+READY_TIMEOUT_S = 60.0
+STOP_TIMEOUT_S = 30.0
 _POLL_INTERVAL_S = 0.01
 _TAIL_LINES = 40
 
@@ -85,12 +85,12 @@
         text = self.log_path.read_text(errors="replace")
         return READY_LINE in text.splitlines()
 
-    def wait_until_ready(self, deadline_s: float = READY_DEADLINE_S) -> None:
+    def wait_until_ready(self, timeout_s: float = READY_TIMEOUT_S) -> None:
         """Block until the process has printed the line ``ready``.
 
         Parameters
         ----------
-        deadline_s : float
+        timeout_s : float
             Timeout in seconds.
 
         Raises
@@ -98,13 +98,13 @@
         ProcessError
             If the process exited or was not ready in time.
         """
-        deadline = time.monotonic() + deadline_s
+        deadline = time.monotonic() + timeout_s
         while not self.is_ready():
             if not self.running:
                 reason = f"exited with code {self.exit_code}\n{self.read_tail()}"
                 raise ProcessError(step="start", peer=self.name, reason=reason)
             if time.monotonic() > deadline:
-                reason = f"not ready after {deadline_s} s\n{self.read_tail()}"
+                reason = f"not ready after {timeout_s} s\n{self.read_tail()}"
                 raise ProcessError(step="start", peer=self.name, reason=reason)
             time.sleep(_POLL_INTERVAL_S)
 
@@ -112,7 +112,7 @@
         """Kill the process with SIGKILL and wait for its exit."""
         if self.running:
             self._child.kill()
-        self._child.wait(STOP_DEADLINE_S)
+        self._child.wait(STOP_TIMEOUT_S)
 
     def pause(self) -> None:
         """Suspend the process with SIGSTOP until `resume`."""
@@ -129,12 +129,12 @@
         if self.running:
             self._child.terminate()
 
-    def wait(self, deadline_s: float = STOP_DEADLINE_S) -> int:
+    def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
         """Block until the process has exited.
 
         Parameters
         ----------
-        deadline_s : float
+        timeout_s : float
             Timeout in seconds.
 
         Returns
@@ -148,7 +148,7 @@
             If the process has not exited in time.
         """
         try:
-            return self._child.wait(deadline_s)
+            return self._child.wait(timeout_s)
         except subprocess.TimeoutExpired as error:
-            reason = f"still running after {deadline_s} s\n{self.read_tail()}"
+            reason = f"still running after {timeout_s} s\n{self.read_tail()}"
             raise ProcessError(step="stop", peer=self.name, reason=reason) from error
--- a/packages/standins/src/ebonyhaven_standins/demo/_texts.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_texts.py
@@ -43,22 +43,22 @@
 )
 
 
-def generate_analysis_prompt(generator: random.Random, pages: tuple[str, ...]) -> str:
+def generate_analysis_prompt(rng: random.Random, pages: tuple[str, ...]) -> str:
     """Return a long prompt that is composed of random sample pages.
 
     Parameters
     ----------
-    generator : random.Random
+    rng : random.Random
         Source of the pages and of a random file number at the end, which makes the
         prompt unique.
     pages : tuple of str
         Sample pages to choose from.
     """
-    chosen = [generator.choice(pages) for _ in range(generator.randint(8, 24))]
-    return "\n\n".join([*chosen, f"File {generator.getrandbits(48):012x}."])
+    chosen = [rng.choice(pages) for _ in range(rng.randint(8, 24))]
+    return "\n\n".join([*chosen, f"File {rng.getrandbits(48):012x}."])
 
 
-def generate_look_up_prompt(generator: random.Random) -> str:
+def generate_look_up_prompt(rng: random.Random) -> str:
     """Return a short question with a random number."""
-    template = generator.choice(LOOK_UPS)
-    return template.format(number=generator.getrandbits(40))
+    template = rng.choice(LOOK_UPS)
+    return template.format(number=rng.getrandbits(40))
--- a/packages/standins/src/ebonyhaven_standins/demo/_workload.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_workload.py
@@ -34,45 +34,45 @@
     seed : int
         Seed of the random number generator.
     """
-    generator = random.Random(seed)
-    arrivals = [_make_analysis(generator) for _ in range(ANALYSIS_COUNT)]
-    arrivals += [_make_decision(generator) for _ in range(DECISION_COUNT)]
-    arrivals += [_make_look_up(generator) for _ in range(LOOK_UP_COUNT)]
+    rng = random.Random(seed)
+    arrivals = [_make_analysis(rng) for _ in range(ANALYSIS_COUNT)]
+    arrivals += [_make_decision(rng) for _ in range(DECISION_COUNT)]
+    arrivals += [_make_look_up(rng) for _ in range(LOOK_UP_COUNT)]
     return sorted(arrivals, key=lambda arrival: arrival.at_s)
 
 
-def _choose_workspace(generator: random.Random) -> str:
-    if generator.random() < 2 / 3:
+def _choose_workspace(rng: random.Random) -> str:
+    if rng.random() < 2 / 3:
         return LARGE_WORKSPACE
-    return generator.choice(SMALL_WORKSPACES)
+    return rng.choice(SMALL_WORKSPACES)
 
 
-def _make_analysis(generator: random.Random) -> Arrival:
+def _make_analysis(rng: random.Random) -> Arrival:
     request = CompletionRequest(
-        workspace=_choose_workspace(generator),
+        workspace=_choose_workspace(rng),
         request_class=ANALYSIS,
-        prompt=generate_analysis_prompt(generator, CASTING_NOTES),
-        max_tokens=generator.randint(*ANALYSIS_TOKENS_RANGE),
+        prompt=generate_analysis_prompt(rng, CASTING_NOTES),
+        max_tokens=rng.randint(*ANALYSIS_TOKENS_RANGE),
     )
-    return Arrival(generator.uniform(0, ARRIVAL_SPAN_S), request)
+    return Arrival(rng.uniform(0, ARRIVAL_SPAN_S), request)
 
 
-def _make_decision(generator: random.Random) -> Arrival:
+def _make_decision(rng: random.Random) -> Arrival:
     request = CompletionRequest(
         workspace="licences",
         request_class=ANALYSIS,
-        prompt=generate_analysis_prompt(generator, DOSSIER_PAGES),
-        max_tokens=generator.randint(*ANALYSIS_TOKENS_RANGE),
+        prompt=generate_analysis_prompt(rng, DOSSIER_PAGES),
+        max_tokens=rng.randint(*ANALYSIS_TOKENS_RANGE),
         repeatable=False,
     )
-    return Arrival(generator.uniform(0, ARRIVAL_SPAN_S), request)
+    return Arrival(rng.uniform(0, ARRIVAL_SPAN_S), request)
 
 
-def _make_look_up(generator: random.Random) -> Arrival:
+def _make_look_up(rng: random.Random) -> Arrival:
     request = CompletionRequest(
-        workspace=_choose_workspace(generator),
+        workspace=_choose_workspace(rng),
         request_class=LOOK_UP,
-        prompt=generate_look_up_prompt(generator),
-        max_tokens=generator.randint(*LOOK_UP_TOKENS_RANGE),
+        prompt=generate_look_up_prompt(rng),
+        max_tokens=rng.randint(*LOOK_UP_TOKENS_RANGE),
     )
-    return Arrival(generator.uniform(0, ARRIVAL_SPAN_S), request)
+    return Arrival(rng.uniform(0, ARRIVAL_SPAN_S), request)
--- a/packages/standins/src/ebonyhaven_standins/engine/_engine.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_engine.py
@@ -119,11 +119,11 @@
     ):
         self.settings = settings
         self.state = EngineState(settings, clock)
-        self._generator = random.Random(settings.seed)
+        self._rng = random.Random(settings.seed)
         self.feed = CacheEventFeed(
             delay_s=settings.event_delay_s * settings.time_scale,
             loss_share=settings.event_loss,
-            generator=self._generator,
+            rng=self._rng,
             clock=clock.seconds,
         )
         self.cache = PrefixCache(settings.cache_blocks, self.feed)
@@ -316,7 +316,7 @@
         origin = (
             parse_origin(prior_tokens)
             if prior_tokens
-            else generate_origin(request.prompt, self._generator)
+            else generate_origin(request.prompt, self._rng)
         )
         return Run(
             run_id=request.run_id,
--- a/packages/standins/src/ebonyhaven_standins/engine/_prefix_cache.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_prefix_cache.py
@@ -42,7 +42,7 @@
         Delay before an event is published.
     loss_share : float
         Share of events that are dropped, 0 to 1.
-    generator : random.Random
+    rng : random.Random
         Source of randomness for the drops.
     clock : callable
         Returns the time in seconds.
@@ -54,7 +54,7 @@
         "_events",
         "_loss_share",
         "_sequence",
-        "_generator",
+        "_rng",
     )
 
     def __init__(
@@ -62,12 +62,12 @@
         *,
         delay_s: float,
         loss_share: float,
-        generator: random.Random,
+        rng: random.Random,
         clock: Callable[[], float],
     ):
         self._delay_s = delay_s
         self._loss_share = loss_share
-        self._generator = generator
+        self._rng = rng
         self._clock = clock
         self._sequence = 0
         self._events: collections.deque[CacheEvent] = collections.deque(
@@ -85,7 +85,7 @@
             Hash of the prompt prefix.
         """
         self._sequence += 1
-        if self._generator.random() < self._loss_share:
+        if self._rng.random() < self._loss_share:
             return
         published_at = self._clock() + self._delay_s
         self._events.append(CacheEvent(self._sequence, kind, prefix, published_at))
--- a/packages/standins/src/ebonyhaven_standins/engine/_runs.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_runs.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from ebonyhaven_standins.engine._tokens import BLOCK_CHARS, CHARS_PER_TOKEN
+from ebonyhaven_standins.engine._tokens import BLOCK_CHARACTERS, CHARACTERS_PER_TOKEN
 
 END_OF_STREAM = b"data: [DONE]\n\n"
 
@@ -123,8 +123,8 @@
         cached_blocks : int
             Number of leading prompt blocks in the cache.
         """
-        chars = len(self.prompt) - cached_blocks * BLOCK_CHARS
-        self.planned_prefill_tokens = -(-chars // CHARS_PER_TOKEN) + len(
+        chars = len(self.prompt) - cached_blocks * BLOCK_CHARACTERS
+        self.planned_prefill_tokens = -(-chars // CHARACTERS_PER_TOKEN) + len(
             self.prior_tokens
         )
         self.remaining_prefill_tokens = float(self.planned_prefill_tokens)
--- a/packages/standins/src/ebonyhaven_standins/engine/_tokens.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_tokens.py
@@ -6,8 +6,8 @@
 import random
 from collections.abc import Sequence
 
-BLOCK_CHARS = 64
-CHARS_PER_TOKEN = 4
+BLOCK_CHARACTERS = 64
+CHARACTERS_PER_TOKEN = 4
 ORIGIN_HALF_DIGITS = 6
 PREFIX_HASH_DIGITS = 16
 
@@ -23,7 +23,7 @@
     -------
     int
     """
-    return -(-len(text) // CHARS_PER_TOKEN)
+    return -(-len(text) // CHARACTERS_PER_TOKEN)
 
 
 def hash_prefixes(prompt: str) -> list[str]:
@@ -41,19 +41,19 @@
     """
     running = hashlib.sha256()
     prefix_hashes = []
-    for end in range(BLOCK_CHARS, len(prompt) + 1, BLOCK_CHARS):
-        running.update(prompt[end - BLOCK_CHARS : end].encode())
+    for end in range(BLOCK_CHARACTERS, len(prompt) + 1, BLOCK_CHARACTERS):
+        running.update(prompt[end - BLOCK_CHARACTERS : end].encode())
         prefix_hashes.append(running.hexdigest()[:PREFIX_HASH_DIGITS])
     return prefix_hashes
 
 
-def generate_origin(prompt: str, generator: random.Random) -> str:
+def generate_origin(prompt: str, rng: random.Random) -> str:
     """Return a new origin: the identifier that all tokens of a run carry.
 
     Parameters
     ----------
     prompt : str
-    generator : random.Random
+    rng : random.Random
 
     Returns
     -------
@@ -63,7 +63,7 @@
     prompt_digits = hashlib.sha256(prompt.encode()).hexdigest()[:ORIGIN_HALF_DIGITS]
     return (
         f"{prompt_digits}"
-        f"{generator.getrandbits(4 * ORIGIN_HALF_DIGITS):0{ORIGIN_HALF_DIGITS}x}"
+        f"{rng.getrandbits(4 * ORIGIN_HALF_DIGITS):0{ORIGIN_HALF_DIGITS}x}"
     )
 
 
--- a/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
@@ -198,18 +198,18 @@
         return counts.most_common(1)[0][0]
 
     def _make_callers(self, history: HistoryWriter) -> None:
-        generator = random.Random(self._scenario.seed)
+        rng = random.Random(self._scenario.seed)
         names = {item.request.workspace for item in self._scenario.arrivals}
         for name in sorted(names):
             bootstrap_addresses = [
                 self.cluster.addresses[item] for item in self.instances
             ]
-            generator.shuffle(bootstrap_addresses)
+            rng.shuffle(bootstrap_addresses)
             self._callers[name] = Caller(
                 reactor=self._reactor,
                 bootstrap_addresses=bootstrap_addresses,
                 history=history,
-                generator=random.Random(generator.random()),
+                rng=random.Random(rng.random()),
                 limits=self._scenario.limits,
                 sends_received=self._scenario.sends_received,
             )
--- a/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_relaying.py
@@ -61,7 +61,7 @@
         reactor=reactor,
         bootstrap_addresses=[cluster.addresses[_NODE_NAME]],
         history=HistoryWriter(pathlib.Path("/dev/null")),
-        generator=random.Random(1),
+        rng=random.Random(1),
     )
 
 
--- a/packages/store/src/ebonyhaven_store/_resolution.py
+++ b/packages/store/src/ebonyhaven_store/_resolution.py
@@ -46,13 +46,13 @@
     ----------
     version : int
         Version of the written marker row.
-    confirmed_by_read : bool
+    confirmed_by_conflict : bool
         True if the response to the committed attempt was lost and the row in the
         conflict of a later attempt confirmed it.
     """
 
     version: int
-    confirmed_by_read: bool
+    confirmed_by_conflict: bool
 
 
 def resolve_write(
--- a/packages/store/src/ebonyhaven_store/_transport.py
+++ b/packages/store/src/ebonyhaven_store/_transport.py
@@ -27,7 +27,7 @@
 
 DEFAULT_TIMEOUT_S = 2.0
 DEFAULT_RETRY_AFTER_S = 0.5
-MAX_CONNECTIONS = 8
+MAX_IDLE_CONNECTIONS = 8
 NOT_SENT_ERRORS = (
     ConnectError,
     ConnectingCancelledError,
@@ -70,7 +70,7 @@
         self._reactor = reactor
         self._timeout_s = timeout_s
         self._pool = HTTPConnectionPool(reactor)
-        self._pool.maxPersistentPerHost = MAX_CONNECTIONS
+        self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
         # An automatic retry on a new connection would hide that the first attempt
         # of a write may have been applied.
         self._pool.retryAutomatically = False
--- a/tests/integration/trials.py
+++ b/tests/integration/trials.py
@@ -230,7 +230,7 @@
                 reactor=reactor,
                 bootstrap_addresses=[self.cluster.addresses[n] for n in self.instances],
                 history=self._history,
-                generator=random.Random(1),
+                rng=random.Random(1),
                 limits=limits,
                 sends_received=sends_received,
             )
--- a/tests/standins/test_caller_connections.py
+++ b/tests/standins/test_caller_connections.py
@@ -64,7 +64,7 @@
             reactor=reactor,
             bootstrap_addresses=[address],
             history=history,
-            generator=random.Random(1),
+            rng=random.Random(1),
             limits=LIMITS,
         )
         caller.entries = FixedEntryList(address)
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -226,7 +226,7 @@
 def test_cache_events_are_delayed_and_lossy():
     clock = Clock()
     feed = CacheEventFeed(
-        delay_s=1.0, loss_share=0.3, generator=random.Random(1), clock=clock.seconds
+        delay_s=1.0, loss_share=0.3, rng=random.Random(1), clock=clock.seconds
     )
     cache = PrefixCache(2, feed)
     cache.store(hash_prefixes("a" * 64 * 40))
@@ -241,7 +241,7 @@
 
 def test_last_blocks_of_prefix_are_evicted_first():
     feed = CacheEventFeed(
-        delay_s=0.0, loss_share=0.0, generator=random.Random(1), clock=Clock().seconds
+        delay_s=0.0, loss_share=0.0, rng=random.Random(1), clock=Clock().seconds
     )
     cache = PrefixCache(2, feed)
     prefixes = hash_prefixes("a" * 64 * 3)
--- a/tests/store_client/test_clients.py
+++ b/tests/store_client/test_clients.py
@@ -198,7 +198,7 @@
                 clock=reactor,
                 retry_policy=make_retry_policy(),
             )
-            assert result == WriteResult(1, confirmed_by_read=True)
+            assert result == WriteResult(1, confirmed_by_conflict=True)
 
     with run_platform() as address:
         run_in_reactor(check, address)
