--- a/packages/operator/src/ebonyhaven_operator/_changes.py
+++ b/packages/operator/src/ebonyhaven_operator/_changes.py
@@ -68,12 +68,12 @@
 
 
 class AcceptedChange(NamedTuple):
-    """Result of a change whose declaration is stored as a configuration version.
+    """Configuration version with the declaration of a change.
 
     Parameters
     ----------
     version : int
-        Version with the declaration of the change.
+        Number of the configuration version.
     outcome : str
         ``"accepted"``, ``"accepted_before"`` if the change id was accepted earlier,
         or ``"unchanged"`` if the declaration was current already.
@@ -110,9 +110,9 @@
     Raises
     ------
     CommandError
-        If the change conflicts with another one, its id is in use for another
-        declaration, its declaration is too large, the platform is unavailable, or
-        the outcome of the write is unknown.
+        If the change conflicts with another one, its id was already used with another
+        declaration, its declaration is too large, the platform is unavailable, or the
+        outcome of the write is unknown.
     """
     change_key = format_change_key(change.change_id)
     rows = await read_rows_with_retry(
--- a/packages/operator/src/ebonyhaven_operator/_reading.py
+++ b/packages/operator/src/ebonyhaven_operator/_reading.py
@@ -57,7 +57,7 @@
 
 
 def find_current_entry(rows: RowSet) -> CurrentEntry:
-    """Return the current configuration from rows that include its row."""
+    """Return the current configuration from rows that were read with its key."""
     row = rows.find(CURRENT_CONFIGURATION_KEY)
     entry = None if row.value is None else parse_configuration_entry(row.value)
     return CurrentEntry(entry, row.version)
@@ -115,7 +115,7 @@
 
 
 class StatusReport(NamedTuple):
-    """Configuration versions of the table and of all listed instances.
+    """Current configuration version and the versions that instances run.
 
     Parameters
     ----------
@@ -137,7 +137,7 @@
 
     @property
     def is_rolled_out(self) -> bool:
-        """Whether all reachable instances run the current version of the table."""
+        """Whether all reachable instances, if any, run the current version."""
         return set(self.version_shares) <= {self.version}
 
 
--- a/packages/operator/src/ebonyhaven_operator/_session.py
+++ b/packages/operator/src/ebonyhaven_operator/_session.py
@@ -54,7 +54,7 @@
     address : str
         ``IP:PORT`` of the platform.
     timeout_s : float
-        Seconds after which no attempt starts.
+        Time in seconds after which no further attempt starts.
     function : callable
         Coroutine function to call with the session.
 
--- a/packages/operator/src/ebonyhaven_operator/commands.py
+++ b/packages/operator/src/ebonyhaven_operator/commands.py
@@ -1,7 +1,7 @@
 """Command line ``ebonyhavenctl``.
 
 Exit codes: 0 success; 1 ``diff`` found differences, ``status`` found an instance that
-runs another version, or ``explain`` found no line of the request; 2 invalid
+runs another version, or ``explain`` found no log line of the request; 2 invalid
 declaration or command line; 3 conflict with another change; 4 the platform is
 unavailable and nothing was changed; 5 unconfirmed, repeat the command with the printed
 change id.
--- a/packages/standins/src/ebonyhaven_standins/__init__.py
+++ b/packages/standins/src/ebonyhaven_standins/__init__.py
@@ -1,4 +1,5 @@
-"""Simulated surroundings of the node for tests, demos and benchmarks.
+"""Stand-ins for the processes that the node communicates with.
 
-The stand-ins replace the platform, the backend servers and the callers.
+They replace the platform, the backend servers and the callers in tests, demos and
+benchmarks.
 """
--- a/packages/standins/src/ebonyhaven_standins/_instance_list.py
+++ b/packages/standins/src/ebonyhaven_standins/_instance_list.py
@@ -32,7 +32,7 @@
         name : str
             Name of the instance or backend server.
         entry : dict or None
-            Entry to list; None removes the one under this name.
+            New entry; None removes the entry with this name.
         """
         self._pending.append((now, name, entry))
 
--- a/packages/standins/src/ebonyhaven_standins/_serving.py
+++ b/packages/standins/src/ebonyhaven_standins/_serving.py
@@ -95,7 +95,8 @@
 def serve_app(app: Klein, address: str) -> None:
     """Serve an application until the reactor stops.
 
-    Prints the line ``ready`` once the port is open, or the error and stops.
+    Prints the line ``ready`` once the port is open. If listening fails, prints the
+    error and stops the reactor.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/caller/_caller.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_caller.py
@@ -80,8 +80,9 @@
     total_timeout_s : float
         Time from the first attempt after which no further attempt starts.
     initial_backoff_s, max_backoff_s : float
-        Limits of the backoff, which doubles with each attempt that yields no token.
-        Used with jitter if the response names no time for the retry.
+        First and longest retry delay, before jitter. The delay doubles with each
+        attempt that yields no token. A ``retry_after_s`` in the response takes
+        precedence.
     """
 
     connect_timeout_s: float = 0.5
@@ -143,8 +144,8 @@
         Returns
         -------
         Deferred of RequestRecord
-            Fires when the request has completed, ended with an outcome that is
-            not to be retried, or exceeded ``total_timeout_s``.
+            Fires when the request has completed, failed with an outcome that must not
+            be retried, or exceeded ``total_timeout_s``.
         """
         return defer.Deferred.fromCoroutine(self._complete(request))
 
--- a/packages/standins/src/ebonyhaven_standins/caller/_connection.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_connection.py
@@ -36,7 +36,7 @@
         error response without a valid tag; ``refused`` if there was no response;
         ``silent`` after the idle timeout; ``cut`` if the body ended early.
     step, peer, reason : str
-        Failed step, its peer and the reason; empty where the response has none.
+        Failed step, its peer and the reason; empty if the response contains none.
     retry_after_s : float or None
         Time before the next attempt in seconds; None if the response has none.
     """
--- a/packages/standins/src/ebonyhaven_standins/caller/_entries.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_entries.py
@@ -24,7 +24,7 @@
 
 
 class EntryList:
-    """Ranked addresses of instances, cached for the time that the server names.
+    """Ranked addresses of instances, cached for the time to live in the response.
 
     Parameters
     ----------
@@ -91,12 +91,12 @@
         candidates.sort(key=lambda item: self._failed_at.get(item, 0.0))
         for address in candidates:
             try:
-                answer = await self._fetch_entries(address)
+                body = await self._fetch_entries(address)
             except TRANSPORT_ERRORS:
                 self.mark_failed(address)
                 continue
-            if answer is not None:
-                self._store_entries(answer)
+            if body is not None:
+                self._store_entries(body)
                 return
 
     async def _fetch_entries(self, address: str) -> Any:
@@ -106,7 +106,7 @@
         content = await response.json()
         return content if response.code == 200 else None
 
-    def _store_entries(self, answer: Any) -> None:
-        self._addresses = [entry["address"] for entry in answer["entries"]]
-        self._expires_at = self._reactor.seconds() + answer["keep_s"]
+    def _store_entries(self, body: Any) -> None:
+        self._addresses = [entry["address"] for entry in body["entries"]]
+        self._expires_at = self._reactor.seconds() + body["keep_s"]
         self.refresh_count += 1
--- a/packages/standins/src/ebonyhaven_standins/caller/_history.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_history.py
@@ -13,7 +13,7 @@
 
 
 def derive_prompt_origin(prompt: str) -> str:
-    """Return the hash digits of a prompt with which its token texts start."""
+    """Return the prompt hash prefix that begins each token text of its answer."""
     return hashlib.sha256(prompt.encode()).hexdigest()[:PROMPT_ORIGIN_DIGITS]
 
 
@@ -53,9 +53,9 @@
 class RequestRecord(TypedDict):
     """One request with its connections and received tokens.
 
-    ``position`` is the id of the last event received, also of one without a token;
-    ``finish_offset`` is the offset of the finish event. ``outcome`` is that of the
-    last connection, or ``gave_up`` if it failed without an outcome tag.
+    ``position`` is the id of the last event received, including events without a token;
+    ``finish_offset`` is the offset of the finish event. ``outcome`` is that of the last
+    connection, or ``gave_up`` if it failed without an outcome tag.
     """
 
     workspace: str
--- a/packages/standins/src/ebonyhaven_standins/checker/_answers.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_answers.py
@@ -1,4 +1,4 @@
-"""Checks that an answer is complete, without repeats and from the right run."""
+"""Checks of the tokens, origins and errors that callers received."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/ebonyhaven_standins/checker/_continuations.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_continuations.py
@@ -8,11 +8,11 @@
 from ebonyhaven_standins.checker._logs import Evidence, LogLine
 from ebonyhaven_standins.checker._violations import Violation, ViolationKind
 
-_BRANCH_EVENTS = frozenset({"start", "continue"})
+_START_EVENTS = frozenset({"start", "continue"})
 
 
 def check_continuations(evidence: Evidence) -> Iterator[Violation]:
-    """Yield the answers that mix two diverged continuations of one generation.
+    """Yield the violations where an answer mixes diverged continuations of a run.
 
     An engine that continued a run at offset M computes token K from the tokens M to
     K - 1 that it generated itself. A caller that receives token K from that engine
@@ -25,22 +25,20 @@
     """
     lines = evidence.group_lines()
     for record in evidence.records:
-        branches = [
+        starts = [
             line
             for line in lines.get(record["prompt_origin"], [])
-            if line.event in _BRANCH_EVENTS
+            if line.event in _START_EVENTS
         ]
-        yield from _check_record(record, branches)
+        yield from _check_record(record, starts)
 
 
-def _check_record(
-    record: RequestRecord, branches: list[LogLine]
-) -> Iterator[Violation]:
+def _check_record(record: RequestRecord, starts: list[LogLine]) -> Iterator[Violation]:
     tokens = record["tokens"]
     for previous, token in zip(tokens, tokens[1:], strict=False):
         if previous.server == token.server:
             continue
-        offsets = _list_branch_offsets(token, branches)
+        offsets = _list_start_offsets(token, starts)
         if offsets and all(
             _received_from_another(tokens, first, token) for first in offsets
         ):
@@ -52,11 +50,11 @@
             )
 
 
-def _list_branch_offsets(token: ReceivedToken, branches: list[LogLine]) -> list[int]:
+def _list_start_offsets(token: ReceivedToken, starts: list[LogLine]) -> list[int]:
     origin = token.text.partition(":")[0]
     return [
         line.offset
-        for line in branches
+        for line in starts
         if line.server == token.server
         and line.origin == origin
         and line.time <= token.time
--- a/packages/standins/src/ebonyhaven_standins/checker/_control.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_control.py
@@ -18,7 +18,7 @@
 
 
 def check_control_plane(evidence: Evidence) -> Iterator[Violation]:
-    """Yield requests cut by a shutdown and late or reverted configurations."""
+    """Yield the violations in instance shutdowns and configuration propagation."""
     for event in evidence.timeline:
         if event.kind is TimelineKind.INSTANCE_TERMINATED:
             yield from _check_shutdown(event, evidence)
--- a/packages/standins/src/ebonyhaven_standins/checker/_logs.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_logs.py
@@ -18,7 +18,8 @@
 class LogLine(NamedTuple):
     """One line of an execution log.
 
-    Token counts cover the time since the previous line of the same run.
+    ``time`` is in seconds since the epoch. Token counts cover the time since the
+    previous line of the same run.
     """
 
     time: float
@@ -32,7 +33,7 @@
 
 
 class TimelineKind(enum.StrEnum):
-    """Kind of an action or observation of a test or tool."""
+    """Kind of an injected fault or an observed state change."""
 
     ENGINE_KILLED = "engine_killed"
     INSTANCE_KILLED = "instance_killed"
@@ -46,9 +47,9 @@
 class TimelineEvent(NamedTuple):
     """One event of a timeline.
 
-    ``name`` identifies a backend server, the caller address of an instance or, for
-    ``CONFIGURATION_SEEN``, an instance and its incarnation. ``version`` is the
-    version of a configuration.
+    ``time`` is in seconds since the epoch. ``name`` identifies a backend server, the
+    caller address of an instance or, for ``CONFIGURATION_SEEN``, an instance and its
+    incarnation. ``version`` is the version of a configuration.
     """
 
     time: float
@@ -73,7 +74,11 @@
 
 
 class Evidence(NamedTuple):
-    """Records of callers, log lines of backend servers and the timeline."""
+    """Records of callers, log lines of backend servers and the timeline.
+
+    Records and log lines are matched by their prompt origin: the hash prefix of the
+    prompt that begins each token text.
+    """
 
     records: list[RequestRecord]
     lines: list[LogLine]
--- a/packages/standins/src/ebonyhaven_standins/checker/_measures.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_measures.py
@@ -40,58 +40,59 @@
 
 
 def measure_resume_latencies(evidence: Evidence) -> list[float]:
-    """Return the time from each loss to the next token of each affected stream.
+    """Return the seconds from each loss to the next token of each affected stream.
 
-    A stream is affected if its last token before the loss came from the lost process.
-    It is resumed by its next token from another process: tokens of the lost process
-    that were in transit do not count. Streams that were not resumed are omitted.
+    A loss is the kill of an engine or instance. A stream is affected if its last token
+    before the loss came from the lost process. It is resumed by its next token from
+    another process: tokens of the lost process that were in transit do not count.
+    Streams that were not resumed are omitted.
     """
     latencies = []
-    for record, fault in _pair_losses(evidence):
-        token = _find_resumed_token(record, fault)
+    for record, loss in _pair_losses(evidence):
+        token = _find_resumed_token(record, loss)
         if token is not None:
-            latencies.append(token.time - fault.time)
+            latencies.append(token.time - loss.time)
     return latencies
 
 
 def count_unresumed(evidence: Evidence) -> int:
     """Return the number of incomplete streams not resumed after a loss."""
     return sum(
-        record["outcome"] != COMPLETED and _find_resumed_token(record, fault) is None
-        for record, fault in _pair_losses(evidence)
+        record["outcome"] != COMPLETED and _find_resumed_token(record, loss) is None
+        for record, loss in _pair_losses(evidence)
     )
 
 
 def _pair_losses(evidence: Evidence) -> list[tuple[RequestRecord, TimelineEvent]]:
-    faults = [event for event in evidence.timeline if event.kind in _LOSS_KINDS]
+    losses = [event for event in evidence.timeline if event.kind in _LOSS_KINDS]
     return [
-        (record, fault)
-        for fault in faults
+        (record, loss)
+        for loss in losses
         for record in evidence.records
-        if _is_affected(record, fault)
+        if _is_affected(record, loss)
     ]
 
 
 def _identify_source(
-    record: RequestRecord, token: ReceivedToken, fault: TimelineEvent
+    record: RequestRecord, token: ReceivedToken, loss: TimelineEvent
 ) -> str:
-    if fault.kind is TimelineKind.ENGINE_KILLED:
+    if loss.kind is TimelineKind.ENGINE_KILLED:
         return token.server
     return record["connections"][token.connection]["address"]
 
 
-def _is_affected(record: RequestRecord, fault: TimelineEvent) -> bool:
-    before = [token for token in record["tokens"] if token.time <= fault.time]
-    return bool(before) and _identify_source(record, before[-1], fault) == fault.name
+def _is_affected(record: RequestRecord, loss: TimelineEvent) -> bool:
+    before = [token for token in record["tokens"] if token.time <= loss.time]
+    return bool(before) and _identify_source(record, before[-1], loss) == loss.name
 
 
 def _find_resumed_token(
-    record: RequestRecord, fault: TimelineEvent
+    record: RequestRecord, loss: TimelineEvent
 ) -> ReceivedToken | None:
     for token in record["tokens"]:
         if (
-            token.time > fault.time
-            and _identify_source(record, token, fault) != fault.name
+            token.time > loss.time
+            and _identify_source(record, token, loss) != loss.name
         ):
             return token
     return None
@@ -100,9 +101,9 @@
 def compute_extra_resource_ratio(evidence: Evidence) -> float:
     """Return the ratio of extra to required computed tokens.
 
-    An answer requires the prefill of its first start and its output tokens. All
-    tokens that engines computed beyond the sum of these are extra; the ratio is 0 if
-    there are none. Requests that did not complete add no required tokens.
+    An answer requires the prefill of its first start and its output tokens. All tokens
+    that engines computed beyond the sum of these are extra; the ratio is 0 if no token
+    is required. Requests that did not complete add no required tokens.
     """
     lines = evidence.group_lines()
     computed = sum(line.prefill_tokens + line.decoded_tokens for line in evidence.lines)
@@ -110,16 +111,18 @@
     for origin, records in evidence.group_records().items():
         completed = [item for item in records if item["outcome"] == COMPLETED]
         if completed:
-            prompt = completed[0]["prompt_characters"]
-            required += _find_first_prefill(lines.get(origin, []), prompt)
+            prompt_characters = completed[0]["prompt_characters"]
+            required += _compute_first_prefill_tokens(
+                lines.get(origin, []), prompt_characters
+            )
             required += completed[0]["finish_offset"] or 0
     return computed / required - 1 if required else 0.0
 
 
-def _find_first_prefill(lines: list[LogLine], characters: int) -> int:
+def _compute_first_prefill_tokens(lines: list[LogLine], prompt_characters: int) -> int:
     starts = [line for line in lines if line.event == "start"]
     for line in lines:
         same_run = starts and line.origin == starts[0].origin
         if same_run and line.server == starts[0].server and line.event == "token_count":
             return line.prefill_tokens
-    return -(-characters // CHARACTERS_PER_TOKEN)
+    return -(-prompt_characters // CHARACTERS_PER_TOKEN)
--- a/packages/standins/src/ebonyhaven_standins/checker/_report.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_report.py
@@ -21,7 +21,7 @@
 
 
 class Report(NamedTuple):
-    """Violations and measures of one set of evidence.
+    """Violations and measures of one scenario run.
 
     ``requests`` and ``completed`` are numbers of requests, ``unresumed`` is a number
     of streams.
--- a/packages/standins/src/ebonyhaven_standins/checker/_runs.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_runs.py
@@ -1,4 +1,4 @@
-"""Checks of executed runs: ``not_run`` outcomes, single runs, leaving servers."""
+"""Checks of the runs that backend servers executed."""
 
 from __future__ import annotations
 
@@ -14,11 +14,15 @@
 from ebonyhaven_standins.checker._violations import Violation, ViolationKind
 
 LEAVING_GRACE_S = 5.0
-_WORK_EVENTS = frozenset({"start", "continue"})
+_START_EVENTS = frozenset({"start", "continue"})
 
 
 def check_runs(evidence: Evidence) -> Iterator[Violation]:
-    """Yield the violations in the runs that backend servers executed."""
+    """Yield the violations in the runs that backend servers executed.
+
+    These are runs of requests with the outcome ``not_run``, second runs of requests
+    that are not repeatable, and runs started by leaving servers.
+    """
     lines = evidence.group_lines()
     for origin, records in evidence.group_records().items():
         starts = [line for line in lines.get(origin, []) if line.event == "start"]
@@ -72,7 +76,7 @@
     end = min(returns, default=float("inf"))
     for line in evidence.lines:
         late = event.time + LEAVING_GRACE_S < line.time < end
-        if late and line.server == event.name and line.event in _WORK_EVENTS:
+        if late and line.server == event.name and line.event in _START_EVENTS:
             yield Violation(
                 ViolationKind.WORK_AFTER_LEAVING,
                 event.name,
--- a/packages/standins/src/ebonyhaven_standins/checker/_violations.py
+++ b/packages/standins/src/ebonyhaven_standins/checker/_violations.py
@@ -25,8 +25,8 @@
 class Violation(NamedTuple):
     """One violated guarantee.
 
-    ``subject`` is the key of a request or the name of a server or instance;
-    ``count`` is the number of tokens or runs affected.
+    ``subject`` is the key of a request or the name of a server or instance; ``count``
+    is the number of affected tokens, runs or events.
     """
 
     kind: ViolationKind
--- a/packages/standins/src/ebonyhaven_standins/control_node.py
+++ b/packages/standins/src/ebonyhaven_standins/control_node.py
@@ -45,11 +45,11 @@
         Control addresses of instances by name, in place of the instance list of
         the platform.
     seed : int
-        Seed of the random source.
+        Seed of the random number generator.
     loss : float
         Probability of dropping a message, 0 to 1.
     routes : dict of str to str
-        Address to connect to by control address that it replaces.
+        Maps a control address to the address to connect to instead.
     load : float
         Reported load of the instance, 0 to 1.
     """
@@ -67,7 +67,7 @@
 
 
 class ControlNode:
-    """Membership controller of a node with an HTTP interface.
+    """HTTP interface to the membership controller of a node.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/control_node_processes.py
+++ b/packages/standins/src/ebonyhaven_standins/control_node_processes.py
@@ -38,7 +38,7 @@
         self.wait_until_ready()
 
     def start(self, name: str, *, wait: bool = False, **settings: object) -> None:
-        """Start a control node, or start it again after it has exited.
+        """Start or restart a control node; a previous process must have exited.
 
         Parameters
         ----------
@@ -103,6 +103,6 @@
         return instances
 
     def has_converged(self) -> bool:
-        """Return whether each control node considers all of them live."""
+        """Return whether every control node considers all control nodes live."""
         expected = set(self.names)
         return all(self.list_live(name) == expected for name in self.names)
--- a/packages/standins/src/ebonyhaven_standins/demo/_texts.py
+++ b/packages/standins/src/ebonyhaven_standins/demo/_texts.py
@@ -1,4 +1,4 @@
-"""Sample texts of the two workloads."""
+"""Sample texts for the prompts of the demo."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/ebonyhaven_standins/engine/_engine.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_engine.py
@@ -182,7 +182,7 @@
         return run, offset
 
     def find(self, run_id: str, generation: str, fence: int) -> Run:
-        """Return a known run, to attach to its output.
+        """Return a known run and log the attachment to its output.
 
         Parameters
         ----------
@@ -232,8 +232,8 @@
         ----------
         run_id : str
         attempt : int or None
-            Attempt that requests the cancellation; a run that a later attempt
-            started or attached to is not cancelled. None cancels in any case.
+            Attempt that requests the cancellation; a run that a later attempt started
+            or attached to is not cancelled. None cancels regardless of the attempt.
 
         Returns
         -------
@@ -341,11 +341,11 @@
             if run.ended_at is not None:
                 if now - run.ended_at > self.settings.keep_s:
                     del self._runs[run.run_id]
-            elif _is_abandoned(run, now, self.settings.unattended_s):
+            elif _is_unattended(run, now, self.settings.unattended_s):
                 self.cancel(run.run_id, None)
 
 
-def _is_abandoned(run: Run, now: float, limit_s: float) -> bool:
+def _is_unattended(run: Run, now: float, limit_s: float) -> bool:
     if run.has_subscribers or run.unsubscribed_since is None:
         return False
     return now - run.unsubscribed_since > limit_s
--- a/packages/standins/src/ebonyhaven_standins/engine/_http.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_http.py
@@ -105,19 +105,19 @@
         if read_query_int(request, b"if_detached", 0) and self._engine.has_subscribers(
             run_id
         ):
-            return self._answer(request, {"cancelled": False, "attended": True})
+            return self._respond(request, {"cancelled": False, "attended": True})
         cancelled = self._engine.cancel(run_id, attempt if attempt >= 0 else None)
-        return self._answer(request, {"cancelled": cancelled, "attended": False})
+        return self._respond(request, {"cancelled": cancelled, "attended": False})
 
     @app.route("/v1/load", methods=["GET"])
     def report_load(self, request):
         """Return the last load sample."""
-        return self._answer(request, self._load.report())
+        return self._respond(request, self._load.report())
 
     @app.route("/v1/state", methods=["GET"])
     def report_state(self, request):
         """Return the loaded models, the role and the highest fencing number."""
-        return self._answer(request, self._engine.state.describe())
+        return self._respond(request, self._engine.state.describe())
 
     @app.route("/v1/orders", methods=["POST"])
     def accept_order(self, request):
@@ -127,7 +127,7 @@
             self._engine.state.accept_order(order)
         except StaleFenceError:
             raise RefusedError(409, "stale_fence") from None
-        return self._answer(request, {"order_id": order["order_id"], "accepted": True})
+        return self._respond(request, {"order_id": order["order_id"], "accepted": True})
 
     @app.route("/v1/cache-events", methods=["GET"])
     def list_cache_events(self, request):
@@ -141,14 +141,14 @@
             ],
             "next": next_sequence,
         }
-        return self._answer(request, body)
+        return self._respond(request, body)
 
     @app.route("/health", methods=["GET"])
     def report_health(self, request):
         """Return the name of the server."""
-        return self._answer(request, {"server": self._engine.settings.name})
+        return self._respond(request, {"server": self._engine.settings.name})
 
-    def _answer(self, request: http.Request, body: object) -> bytes:
+    def _respond(self, request: http.Request, body: object) -> bytes:
         self._add_load_headers(request)
         return respond_json(request, body)
 
@@ -181,4 +181,4 @@
 
 
 def _ignore_cancel(_done: defer.Deferred) -> None:
-    """Do nothing; the deferred itself fires with `CancelledError`."""
+    """Do nothing on cancellation; the Deferred then fires with `CancelledError`."""
--- a/packages/standins/src/ebonyhaven_standins/engine/_load.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_load.py
@@ -9,7 +9,9 @@
 
 
 class LoadSampler:
-    """Samples the load every ``load_lag_s`` seconds, so that reports lag behind.
+    """Samples the load every ``load_lag_s`` seconds times ``time_scale``.
+
+    Reports are stale by up to this interval.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/engine/_orders.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_orders.py
@@ -27,7 +27,7 @@
 
 
 class EngineState:
-    """Loaded models, role and highest fencing number of orders of an engine.
+    """Loaded models, adapters and versions of an engine, its role and fencing number.
 
     Parameters
     ----------
@@ -70,7 +70,7 @@
         return name in self._loaded["model"]
 
     def accept_order(self, order: Order) -> None:
-        """Accept an order and apply it after ``order_s`` seconds.
+        """Accept an order and apply it after ``order_s`` seconds times ``time_scale``.
 
         A repeated order id has no effect.
 
--- a/packages/standins/src/ebonyhaven_standins/engine/_prefix_cache.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_prefix_cache.py
@@ -43,7 +43,7 @@
     loss_share : float
         Share of events that are dropped, 0 to 1.
     rng : random.Random
-        Source of randomness for the drops.
+        Random number generator that selects the dropped events.
     clock : callable
         Returns the time in seconds.
     """
--- a/packages/standins/src/ebonyhaven_standins/engine/_runs.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_runs.py
@@ -65,9 +65,10 @@
     unlogged_prefill_tokens, unlogged_decoded_tokens : int
         Tokens computed since the last line in the execution log.
     unsubscribed_since : float or None
-        Time from which the run has had no subscriber; None while it has one.
+        Time in seconds since which the run has had no subscriber; None while it has
+        one.
     ended_at : float or None
-        Time at which the run finished.
+        Time in seconds at which the run finished.
     """
 
     run_id: str
@@ -123,10 +124,10 @@
         cached_blocks : int
             Number of leading prompt blocks in the cache.
         """
-        chars = len(self.prompt) - cached_blocks * BLOCK_CHARACTERS
-        self.planned_prefill_tokens = -(-chars // CHARACTERS_PER_TOKEN) + len(
-            self.prior_tokens
-        )
+        uncached_characters = len(self.prompt) - cached_blocks * BLOCK_CHARACTERS
+        self.planned_prefill_tokens = -(
+            -uncached_characters // CHARACTERS_PER_TOKEN
+        ) + len(self.prior_tokens)
         self.remaining_prefill_tokens = float(self.planned_prefill_tokens)
         self.state = RunState.PREFILLING
 
--- a/packages/standins/src/ebonyhaven_standins/engine/_scheduler.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_scheduler.py
@@ -19,7 +19,7 @@
 
 
 class Scheduler:
-    """Runs the batch; a reactor timer triggers each step.
+    """Executes the prefill and decode steps of the batch on a reactor timer.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/engine/_settings.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_settings.py
@@ -44,7 +44,8 @@
     unattended_s : float
         Time without a subscriber after which a run is cancelled, not scaled.
     seed : int or None
-        Seed of the dropped cache events and of the random half of run origins.
+        Seed of the random number generator for the dropped cache events and the random
+        half of run origins.
     """
 
     name: str
--- a/packages/standins/src/ebonyhaven_standins/engine/_tokens.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_tokens.py
@@ -48,7 +48,7 @@
 
 
 def generate_origin(prompt: str, rng: random.Random) -> str:
-    """Return a new origin: the identifier that all tokens of a run carry.
+    """Return a new origin, the identifier in the text of every token of a run.
 
     Parameters
     ----------
--- a/packages/standins/src/ebonyhaven_standins/fault_proxy/_faults.py
+++ b/packages/standins/src/ebonyhaven_standins/fault_proxy/_faults.py
@@ -8,7 +8,13 @@
 
 
 class FaultKind(enum.StrEnum):
-    """Kind of fault, encoded by value on the control interface."""
+    """Kind of fault of a link; the values are those of the control interface.
+
+    ``LOSE_TO_TARGET``, ``LOSE_TO_CLIENT`` and ``PARTITION`` queue the data of one or
+    both directions until ``NONE`` clears the faults. ``SILENCE_OPEN`` drops all further
+    data of the open connections, ``RESET`` aborts them, and ``REFUSE`` closes the
+    listening port.
+    """
 
     NONE = "none"
     DELAY = "delay"
--- a/packages/standins/src/ebonyhaven_standins/memory_connections.py
+++ b/packages/standins/src/ebonyhaven_standins/memory_connections.py
@@ -123,7 +123,7 @@
         self.protocol.dataReceived(data)
 
     def reset(self) -> None:
-        """End the connection without a close, as a crash of the server does."""
+        """Report the connection as lost, as after a crash of the server."""
         self.protocol.connectionLost(Failure(ConnectionLost()))
 
     def close(self) -> None:
--- a/packages/standins/src/ebonyhaven_standins/platform.py
+++ b/packages/standins/src/ebonyhaven_standins/platform.py
@@ -80,7 +80,7 @@
 
 
 def _run_uncancelled(operation: Coroutine) -> Deferred:
-    """Run an operation that continues if Klein cancels the response.
+    """Return a Deferred whose cancellation does not cancel the operation.
 
     Klein cancels the returned Deferred when the caller disconnects.
     """
@@ -208,7 +208,7 @@
 
     @app.route("/instances", methods=["GET"])
     def read_instances(self, request: IRequest) -> bytes:
-        """Return the lagging instance list."""
+        """Return the instance list as it was ``list_lag_ms`` ago."""
         if self._faults.refuse_list:
             return self._respond(request, {"error": "unavailable"}, status=503)
         entries = self._instance_list.read(self._clock.seconds())
--- a/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
+++ b/packages/standins/src/ebonyhaven_standins/scenario/_runner.py
@@ -66,9 +66,9 @@
     actions : sequence of TimedAction
         Fault injections and other actions.
     limits : CallerLimits
-        Timeouts of the callers.
+        Timeouts and backoff of the callers.
     sends_received : bool
-        Whether callers send the text received so far when they reconnect.
+        Whether resuming requests carry the token texts received so far.
     seed : int
         Seed of the random choices of the callers.
     """
@@ -90,7 +90,7 @@
     cluster : Cluster
         Started processes.
     instances : sequence of str
-        Names of the instances whose addresses callers start with.
+        Names of the instances that callers use as bootstrap addresses.
     scenario : Scenario
         Scenario to run.
     on_update : callable
--- a/packages/standins/src/ebonyhaven_standins/service/_http.py
+++ b/packages/standins/src/ebonyhaven_standins/service/_http.py
@@ -47,7 +47,7 @@
         self._settings = settings
         self._log = log
         self._clock = clock
-        self._executions = 0
+        self._execution_count = 0
         self._running = 0
         self.leaving = False
 
@@ -63,9 +63,9 @@
         if self.leaving:
             self._add_load_headers(request)
             return respond_json(request, {"error": "leaving"}, 503)
-        self._executions += 1
+        self._execution_count += 1
         self._running += 1
-        execution = self._executions
+        execution = self._execution_count
         key = request.getHeader("Idempotency-Key") or ""
         body = request.content.read(MAX_BODY_BYTES)
         self._log.write(
@@ -75,7 +75,7 @@
             method=request.method.decode(),
             path=request.path.decode(),
         )
-        answer = {
+        response_body = {
             "server": self._settings.name,
             "execution": execution,
             "method": request.method.decode(),
@@ -83,13 +83,15 @@
             "body_sha256": hashlib.sha256(body).hexdigest(),
         }
         delay_s = self._settings.delay_ms / 1000.0
-        return task.deferLater(self._clock, delay_s, self._finish, request, key, answer)
+        return task.deferLater(
+            self._clock, delay_s, self._finish, request, key, response_body
+        )
 
-    def _finish(self, request, key: str, answer: dict) -> bytes:
+    def _finish(self, request, key: str, response_body: dict) -> bytes:
         self._running -= 1
-        self._log.write("finish", run_id=key, execution=answer["execution"])
+        self._log.write("finish", run_id=key, execution=response_body["execution"])
         self._add_load_headers(request)
-        return respond_json(request, answer)
+        return respond_json(request, response_body)
 
     def _add_load_headers(self, request) -> None:
         request.setHeader("Engine-Running", str(self._running))
--- a/packages/store/src/ebonyhaven_store/_instances.py
+++ b/packages/store/src/ebonyhaven_store/_instances.py
@@ -36,8 +36,8 @@
     pool : str
         Pool of a backend server; empty for instances.
     identity : str
-        Identifier of the process; differs between processes that use the same name
-        one after the other.
+        Identifier of the process; a new process with the same name has a new
+        identifier.
     """
 
     name: str
