--- a/tests/deploy/test_build.py
+++ b/tests/deploy/test_build.py
@@ -1,4 +1,4 @@
-"""Tests of the deployment file: its build and its program in a clean checkout."""
+"""Tests of ``deploy/system.toml``, run on a copy of the deployed files."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 def test_built_program_reports_invalid_settings_on_one_line():
     directory = copy_deployed_files()
-    plan = tomllib.loads((directory / "deploy" / "system.toml").read_text())
+    deployment = tomllib.loads((directory / "deploy" / "system.toml").read_text())
     build = subprocess.run(
-        ["sh", "-c", plan["build"]],
+        ["sh", "-c", deployment["build"]],
         cwd=directory,
         capture_output=True,
         text=True,
@@ -46,7 +46,7 @@
         "PYTHONPATH": str(directory / "target" / "deps"),
         "EBONYHAVEN_NODE_FILE": str(settings),
     }
-    (role,) = plan["roles"].values()
+    (role,) = deployment["roles"].values()
     completed = subprocess.run(
         role["run"].split(),
         cwd=directory,
@@ -63,7 +63,7 @@
 
 
 def test_role_serves_the_edge_and_the_registry():
-    plan = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
-    (role,) = plan["roles"].values()
+    deployment = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
+    (role,) = deployment["roles"].values()
     assert {"edge", "registry"} <= set(role["serves"])
     assert role["share"] == 1.0
--- a/tests/docs/test_capacity.py
+++ b/tests/docs/test_capacity.py
@@ -15,12 +15,12 @@
 
 from tools.doc_blocks import ROOT
 
-PAGE = ROOT / "docs" / "CAPACITY.md"
-POINTS = ROOT / "bench" / "results" / "slopes.json"
+PAGE_PATH = ROOT / "docs" / "CAPACITY.md"
+POINTS_PATH = ROOT / "bench" / "results" / "slopes.json"
 
 
 def read_table(name):
-    text = PAGE.read_text()
+    text = PAGE_PATH.read_text()
     found = re.search(
         rf"<!-- {name}:begin -->\n(.*?)<!-- {name}:end -->", text, re.DOTALL
     )
@@ -47,15 +47,20 @@
 
 
 def test_page_figures_match_measured_points():
-    measurements = make_measurements(read_points(POINTS))
+    measurements = make_measurements(read_points(POINTS_PATH))
     assert read_table("slopes") == render_slopes(measurements)
     assert read_table("capacity") == render_capacity(measurements)
 
 
 def test_capacity_lines_over_limit_are_marked_and_explained():
-    misses = [row for row in split_rows(read_table("capacity")) if "no" in row[7]]
+    rows_over_limit = [
+        row for row in split_rows(read_table("capacity")) if "no" in row[7]
+    ]
     values = {
-        key: item.value for key, item in make_measurements(read_points(POINTS)).items()
+        key: item.value
+        for key, item in make_measurements(read_points(POINTS_PATH)).items()
     }
-    assert len(misses) == sum(not line.meets_limit(values) for line in CAPACITY_LINES)
-    assert not misses or "## What does not fit yet" in PAGE.read_text()
+    assert len(rows_over_limit) == sum(
+        not line.meets_limit(values) for line in CAPACITY_LINES
+    )
+    assert not rows_over_limit or "## What does not fit yet" in PAGE_PATH.read_text()
--- a/tests/docs/test_commands.py
+++ b/tests/docs/test_commands.py
@@ -1,4 +1,7 @@
-"""Tests that run the commands and examples of the pages without changes."""
+"""Tests that run the commands and examples of the documentation pages.
+
+The only text replaced is the platform address on the operators page.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 from tools.doc_blocks import ROOT, read_blocks
 
 SCRIPT_TIMEOUT_S = 120.0
-LINK = re.compile(r"\]\((?!https?:)([^)#]+)")
+LINK_PATTERN = re.compile(r"\]\((?!https?:)([^)#]+)")
 DOCUMENTED_PLATFORM_ADDRESS = "10.0.0.5:7000"
 
 
@@ -59,7 +62,7 @@
     )
 
 
-def check_run(result):
+def read_checked_output(result):
     assert result.returncode == 0, f"{result.stdout}\n{result.stderr}"
     return result.stdout
 
@@ -77,15 +80,17 @@
     with Cluster() as cluster, tempfile.TemporaryDirectory() as folder:
         start_deployment(cluster, make_deployment())
         variables = {"ENTRY": cluster.addresses["n1"], "WORKSPACE": "studio-a"}
-        listed = json.loads(check_run(run_script(entries, folder, **variables)))
+        listed = json.loads(
+            read_checked_output(run_script(entries, folder, **variables))
+        )
         assert {entry["instance"] for entry in listed["entries"]} <= {"n1", "n2"}
         assert listed["keep_s"] > 0
-        stream = check_run(run_script(completion, folder, **variables))
+        stream = read_checked_output(run_script(completion, folder, **variables))
         assert read_offsets(stream) == list(range(9))
         assert stream.rstrip().endswith("data: [DONE]")
         last_event_id = re.findall(r"^id: (2-\S+)", stream, re.MULTILINE)[0]
         variables["ENTRY"] = cluster.addresses["n2"]
-        resumed_stream = check_run(
+        resumed_stream = read_checked_output(
             run_script(reconnect, folder, LAST_EVENT_ID=last_event_id, **variables)
         )
         assert read_offsets(resumed_stream) == list(range(3, 9))
@@ -95,11 +100,16 @@
     (client,) = [b for b in read_blocks("docs/CALLERS.md") if b.language == "python"]
     with Cluster() as cluster, tempfile.TemporaryDirectory() as folder:
         start_deployment(cluster, make_deployment())
-        known = ",".join(cluster.addresses[name] for name in ("n1", "n2"))
+        known_addresses = ",".join(cluster.addresses[name] for name in ("n1", "n2"))
         path = pathlib.Path(folder) / "client.py"
         path.write_text(client.text)
-        output = check_run(
-            run_script("python client.py", folder, ENTRIES=known, WORKSPACE="studio-a")
+        output = read_checked_output(
+            run_script(
+                "python client.py",
+                folder,
+                ENTRIES=known_addresses,
+                WORKSPACE="studio-a",
+            )
         )
         offsets = [text.partition(":")[2] for text in output.split()]
         assert offsets == [str(number) for number in range(8)]
@@ -111,17 +121,17 @@
     assert set(files) == {"n1.json", "casting.json", "market.json"}
     for name in ("casting.json", "market.json"):
         parse_declaration(json.loads(files[name]))
-    settings, cycle = read_shell_blocks("docs/OPERATORS.md")
+    settings_script, change_script = read_shell_blocks("docs/OPERATORS.md")
     with Cluster() as cluster, tempfile.TemporaryDirectory() as folder:
         cluster.start_platform()
         for name, text in files.items():
             (pathlib.Path(folder) / name).write_text(text)
-        check_run(run_script(settings, folder))
-        assert DOCUMENTED_PLATFORM_ADDRESS in cycle
-        script = cycle.replace(
+        read_checked_output(run_script(settings_script, folder))
+        assert DOCUMENTED_PLATFORM_ADDRESS in change_script
+        script = change_script.replace(
             DOCUMENTED_PLATFORM_ADDRESS, cluster.addresses["platform"]
         )
-        check_run(run_script(script, folder))
+        read_checked_output(run_script(script, folder))
         row = cluster.platform.read_row("configuration/current")
         assert row["value"]["version"] == 2
         assert row["value"]["change_id"] == "ticket-812"
@@ -137,6 +147,6 @@
 
 def test_page_links_resolve_to_files():
     for page in LINKED_PAGES:
-        for target in LINK.findall((ROOT / page).read_text()):
+        for target in LINK_PATTERN.findall((ROOT / page).read_text()):
             path = (ROOT / page).parent / target
             assert path.exists(), f"{page} links to {target}"
--- a/tests/integration/test_bad_input.py
+++ b/tests/integration/test_bad_input.py
@@ -8,12 +8,12 @@
 from tests.integration.trials import OTHER_WORKSPACE, deploy, make_prompt
 
 
-def check_refusal(system, *, status, headers, body, reason_part):
-    answer = system.call("n1", headers=headers, body=body)
-    assert answer[0] == status, answer
-    error = json.loads(answer[1])["error"]
+def check_refusal(system, *, status, headers, body, reason_text):
+    response = system.call("n1", headers=headers, body=body)
+    assert response[0] == status, response
+    error = json.loads(response[1])["error"]
     assert error["outcome"] == "not_run"
-    assert reason_part in error["reason"], error
+    assert reason_text in error["reason"], error
     assert system.find_log_lines("refuse") == []
 
 
@@ -35,13 +35,13 @@
             (400, {}, b"[]", "object"),
             (413, {}, {**body, "prompt": "x" * 3_000_000}, "bytes"),
         ]
-        for status, changes, bad_body, reason_part in cases:
+        for status, changes, bad_body, reason_text in cases:
             check_refusal(
                 system,
                 status=status,
                 headers=make_headers("k1", **changes),
                 body=bad_body,
-                reason_part=reason_part,
+                reason_text=reason_text,
             )
         assert system.find_log_lines("start") == []
 
@@ -52,9 +52,9 @@
         first.wait_for_tokens(1)
         for name in ("n1", "n2"):
             headers = make_headers(first.request.key, **{"Ebonyhaven-Class": "steady"})
-            answer = system.call(name, headers=headers, body=make_body("other", 40))
-            assert answer[0] == 409, answer
-            assert b"different body" in answer[1]
+            response = system.call(name, headers=headers, body=make_body("other", 40))
+            assert response[0] == 409, response
+            assert b"different body" in response[1]
         system.wait_and_check_completed()
 
 
@@ -82,11 +82,11 @@
         origin = token.text.partition(":")[0].encode()
         for name in ("n1", "n2"):
             for key, changes in cases:
-                answer = system.call(
+                response = system.call(
                     name, headers=make_headers(key, **changes), body=body
                 )
-                assert origin not in answer[1], (key, changes, answer[1][:300])
-                assert b'"error"' in answer[1], answer[1][:300]
+                assert origin not in response[1], (key, changes, response[1][:300])
+                assert b'"error"' in response[1], response[1][:300]
         system.wait_and_check_completed()
 
 
@@ -95,5 +95,5 @@
         headers = make_headers("k1", **{"Last-Event-ID": "3-9f3a61c2-e1"})
         body = {**make_body(make_prompt()), "received": ["a", "b"]}
         check_refusal(
-            system, status=400, headers=headers, body=body, reason_part="received"
+            system, status=400, headers=headers, body=body, reason_text="received"
         )
--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -30,7 +30,7 @@
 
 
 class ConfiguredCluster(Cluster):
-    """Instances with the first version of a configuration declared."""
+    """Platform on which the first version of a configuration is declared."""
 
     def __enter__(self):
         super().__enter__()
@@ -46,8 +46,8 @@
 
     def read_version(self, name: str) -> int:
         url = f"http://{self.addresses[name]}/health"
-        with urllib.request.urlopen(url, timeout=10.0) as answer:
-            return json.load(answer)["configuration_version"]
+        with urllib.request.urlopen(url, timeout=10.0) as response:
+            return json.load(response)["configuration_version"]
 
     def wait_for_version(self, version: int, *names: str) -> float:
         return wait_until(
@@ -79,7 +79,7 @@
         assert json.loads(finished.stdout)["shares"] == {str(version): 1.0}
 
 
-def test_accepted_change_reaches_instances_that_were_cut_off_from_the_table():
+def test_accepted_change_reaches_instances_partitioned_from_the_table():
     with ConfiguredCluster() as cluster:
         names = ("n1", "n2", "n3")
         cluster.start_fault_proxy()
@@ -124,15 +124,18 @@
         cluster.kill("n2")
         cluster.set_fault("none", link="to n3")
         cluster.restart("n1")
-        until = time.monotonic() + OBSERVATION_S
-        while time.monotonic() < until:
+        deadline = time.monotonic() + OBSERVATION_S
+        while time.monotonic() < deadline:
             assert cluster.read_version("n1") in {0, version}
         cluster.platform.set_faults(outage=False)
         cluster.wait_for_version(version, "n1")
 
 
 def start_with_partitioned_peer(cluster: ConfiguredCluster) -> None:
-    """Start three instances and cut off n3 from the table and its peers."""
+    """Start three instances and disrupt the connections of n3.
+
+    n3 cannot reach the table, and messages from n1 and n2 do not reach n3.
+    """
     cluster.start_fault_proxy()
     platform = cluster.addresses["platform"]
     table_link = cluster.add_link("n3 to table", target=platform)
--- a/tests/integration/test_demo_path.py
+++ b/tests/integration/test_demo_path.py
@@ -28,9 +28,9 @@
 
 from tests.reactor_thread import run_in_reactor
 
-DEADLINE_S = 150.0
+TIMEOUT_S = 150.0
 # Long enough that all analysis streams are still open when the process is killed.
-LONG_TOKENS = 160
+ANALYSIS_TOKENS = 160
 RESUME_TARGET_S = 2.0
 
 
@@ -54,7 +54,7 @@
             workspace=generator.choice(["studio-a", "studio-b"]),
             request_class=ANALYSIS,
             prompt=f"Dossier {number}. " * 40,
-            max_tokens=LONG_TOKENS,
+            max_tokens=ANALYSIS_TOKENS,
             repeatable=number % 3 != 0,
         )
         arrivals.append(Arrival(0.1 * number, request))
@@ -84,7 +84,7 @@
         async def run():
             return await runner.run()
 
-        evidence = run_in_reactor(run, deadline_s=DEADLINE_S)
+        evidence = run_in_reactor(run, timeout_s=TIMEOUT_S)
         return check(evidence), count_unavoidable_unknowns(evidence.records)
 
 
--- a/tests/integration/test_entries.py
+++ b/tests/integration/test_entries.py
@@ -6,27 +6,26 @@
 
 from ebonyhaven_standins.cluster import Cluster
 
-DEADLINE_S = 40.0
+TIMEOUT_S = 40.0
 ENTRY_REMOVAL_TARGET_S = 3.0
 QUERIES_PER_INSTANCE = 6
 INSTANCES = ("n1", "n2", "n3")
 
 
 def list_offered(cluster: Cluster, name: str) -> set[str]:
+    """Return the instances in several randomly chosen entry lists of one instance."""
     offered = set()
     for _ in range(QUERIES_PER_INSTANCE):
         url = f"http://{cluster.addresses[name]}/v1/entries"
-        with urllib.request.urlopen(url, timeout=DEADLINE_S) as answer:
-            offered |= {entry["instance"] for entry in json.load(answer)["entries"]}
+        with urllib.request.urlopen(url, timeout=TIMEOUT_S) as response:
+            offered |= {entry["instance"] for entry in json.load(response)["entries"]}
     return offered
 
 
 def wait_until_offered(cluster: Cluster, expected: dict[str, set[str]]) -> float:
     started = time.monotonic()
     while any(list_offered(cluster, n) != names for n, names in expected.items()):
-        assert time.monotonic() - started < DEADLINE_S, (
-            "entries not as expected in time"
-        )
+        assert time.monotonic() - started < TIMEOUT_S, "entries not as expected in time"
         time.sleep(0.02)
     return time.monotonic() - started
 
@@ -48,7 +47,7 @@
         assert took_s <= ENTRY_REMOVAL_TARGET_S, took_s
 
 
-def test_instances_detect_joins_and_deaths_during_a_platform_outage():
+def test_instances_detect_joins_and_crashes_during_a_platform_outage():
     with Cluster() as cluster:
         start_converged(cluster)
         cluster.platform.set_faults(outage=True, refuse_list=True)
--- a/tests/integration/test_leaving.py
+++ b/tests/integration/test_leaving.py
@@ -12,13 +12,13 @@
 from tests.integration.trials import deploy, wait_until
 
 LEAVING_TARGET_S = 3.0
-ENTRY_REMOVAL_DEADLINE_S = 15.0
+ENTRY_REMOVAL_TIMEOUT_S = 15.0
 
 
 def list_entries(system, instance):
     url = f"http://{system.cluster.addresses[instance]}/v1/entries"
-    with urllib.request.urlopen(url, timeout=10) as answer:
-        return [entry["instance"] for entry in json.load(answer)["entries"]]
+    with urllib.request.urlopen(url, timeout=10) as response:
+        return [entry["instance"] for entry in json.load(response)["entries"]]
 
 
 def test_a_graceful_stop_of_an_instance_cuts_no_stream():
@@ -33,7 +33,7 @@
         wait_until(
             lambda: list_entries(system, "n2") == ["n2"],
             "removal of n1 from the entry list",
-            ENTRY_REMOVAL_DEADLINE_S,
+            ENTRY_REMOVAL_TIMEOUT_S,
         )
         late_stream = system.send()
         assert late_stream.result()["outcome"] == "completed"
@@ -50,7 +50,7 @@
         wait_until(
             lambda: list_entries(system, "n2") == ["n2"],
             "removal of n1 from the entry list",
-            ENTRY_REMOVAL_DEADLINE_S,
+            ENTRY_REMOVAL_TIMEOUT_S,
         )
         late_stream = system.send(at="n1", total_timeout_s=0.5)
         outcomes = {c["outcome"] for c in late_stream.result()["connections"]}
@@ -81,6 +81,7 @@
         stream = system.send(max_tokens=150)
         stream.wait_for_tokens(10)
         leaving = system.cluster.child(stream.server)
+        # On SIGUSR1, an engine reports that it is leaving.
         leaving._child.send_signal(signal.SIGUSR1)
         later_streams = [system.send(max_tokens=10) for _ in range(8)]
         system.wait_and_check_completed()
--- a/tests/integration/test_listing.py
+++ b/tests/integration/test_listing.py
@@ -8,7 +8,7 @@
 from ebonyhaven_standins.cluster import DEFAULT_MODEL, Cluster
 from ebonyhaven_standins.scenario import Deployment, ServerSpec, start_deployment
 
-DEADLINE_S = 40.0
+TIMEOUT_S = 40.0
 
 
 def complete(address: str) -> bytes:
@@ -18,8 +18,8 @@
         data=json.dumps(body).encode(),
         headers={"Ebonyhaven-Workspace": "studio-a"},
     )
-    with urllib.request.urlopen(request, timeout=DEADLINE_S) as answer:
-        return answer.read()
+    with urllib.request.urlopen(request, timeout=TIMEOUT_S) as response:
+        return response.read()
 
 
 def complete_with_retries(address: str) -> bytes:
@@ -28,7 +28,7 @@
         try:
             return complete(address)
         except urllib.error.HTTPError as error:
-            assert time.monotonic() - started < DEADLINE_S, error.read()
+            assert time.monotonic() - started < TIMEOUT_S, error.read()
             time.sleep(0.2)
 
 
--- a/tests/integration/test_losses.py
+++ b/tests/integration/test_losses.py
@@ -99,7 +99,7 @@
         system.wait_and_check_completed()
 
 
-def test_a_stream_resumes_on_an_engine_that_has_an_older_branch_of_its_run():
+def test_a_stream_resumes_on_the_engine_that_it_left_in_a_partition():
     with deploy(engines=2, engines_behind_proxy=True) as system:
         stream = system.send(max_tokens=500)
         stream.wait_for_tokens(20)
--- a/tests/integration/test_membership.py
+++ b/tests/integration/test_membership.py
@@ -4,7 +4,7 @@
 
 from ebonyhaven_standins.control_node_processes import ControlNodeProcesses
 
-DEADLINE_S = 40.0
+TIMEOUT_S = 40.0
 ENTRY_REMOVAL_TARGET_S = 3.0
 NODE_COUNT = 6
 
@@ -12,7 +12,7 @@
 def wait_until(condition) -> float:
     started = time.monotonic()
     while not condition():
-        assert time.monotonic() - started < DEADLINE_S, "condition not met in time"
+        assert time.monotonic() - started < TIMEOUT_S, "condition not met in time"
         time.sleep(0.02)
     return time.monotonic() - started
 
--- a/tests/integration/test_once.py
+++ b/tests/integration/test_once.py
@@ -32,12 +32,12 @@
     return {"model": MODEL, "prompt": prompt, "max_tokens": max_tokens, "stream": True}
 
 
-def read_outcome_tag(answer):
+def read_outcome(response):
     """Return the outcome in an error response or in an error event of a stream."""
-    content = answer[1].decode()
+    content = response[1].decode()
     if not content.startswith("{"):
         _, found, content = content.partition("event: error\ndata: ")
-        assert found, answer
+        assert found, response
     return json.JSONDecoder().raw_decode(content)[0]["error"]["outcome"]
 
 
@@ -65,10 +65,10 @@
 
 def test_a_reconnect_during_the_drain_of_the_old_connection_gets_all_tokens():
     with deploy(instances=2) as system:
-        listen = system.cluster.add_link(
+        proxy_address = system.cluster.add_link(
             "caller", target=system.cluster.addresses["n1"]
         )
-        stream = system.send(at=listen, max_tokens=150)
+        stream = system.send(at=proxy_address, max_tokens=150)
         stream.wait_for_tokens(20)
         system.cluster.set_fault("delay", link="caller", delay_ms=500.0)
         second = system.resend(stream.request, at="n1")
@@ -79,10 +79,10 @@
 
 def test_a_silent_caller_connection_is_replaced_at_another_instance():
     with deploy(instances=2) as system:
-        listen = system.cluster.add_link(
+        proxy_address = system.cluster.add_link(
             "caller", target=system.cluster.addresses["n1"]
         )
-        stream = system.send(at=listen, max_tokens=250)
+        stream = system.send(at=proxy_address, max_tokens=250)
         stream.wait_for_tokens(20)
         system.cluster.set_fault("silence_open", link="caller")
         stream.caller.entries = type(stream.caller.entries)(
@@ -108,8 +108,8 @@
     with deploy() as system:
         system.cluster.platform.set_faults(outage=True)
         prompt = make_prompt()
-        answer = system.call("n1", headers=make_headers("k1"), body=make_body(prompt))
-        assert read_outcome_tag(answer) == "not_run", answer
+        response = system.call("n1", headers=make_headers("k1"), body=make_body(prompt))
+        assert read_outcome(response) == "not_run", response
         assert system.find_log_lines("start") == []
         system.cluster.platform.set_faults(outage=False)
         stream = system.send(prompt, repeatable=False, max_tokens=20, key="k1")
@@ -149,9 +149,11 @@
         system.cluster.set_fault("delay", link="platform-n1", delay_ms=900.0)
         headers = make_headers("k1", **{"Ebonyhaven-Class": LENIENT_CLASS})
         body = make_body(make_prompt())
-        answers = []
+        responses = []
         call = threading.Thread(
-            target=lambda: answers.append(system.call("n1", headers=headers, body=body))
+            target=lambda: responses.append(
+                system.call("n1", headers=headers, body=body)
+            )
         )
         call.start()
         platform = system.cluster.platform
@@ -178,10 +180,10 @@
         starts = system.find_log_lines("start")
         assert all(line.time < paused_at for line in starts), starts
         if not starts:
-            assert read_outcome_tag(answers[0]) in {"not_run", "unknown"}
+            assert read_outcome(responses[0]) in {"not_run", "unknown"}
 
 
-def test_a_not_repeatable_run_outlives_its_instance_and_is_not_started_again():
+def test_a_non_repeatable_run_continues_without_its_instance_and_starts_once():
     with deploy(instances=2) as system:
         stream = system.send(at="n1", repeatable=False, max_tokens=150)
         stream.wait_for_tokens(10)
@@ -196,10 +198,10 @@
     with deploy(
         engines=0, services=2, service_options=("--delay-ms", "1500")
     ) as system:
-        answers = []
+        responses = []
         headers = make_headers("k1")
         call = threading.Thread(
-            target=lambda: answers.append(
+            target=lambda: responses.append(
                 system.call("n1", headers=headers, body={}, path="/services/listings/x")
             )
         )
@@ -208,15 +210,15 @@
         server = system.find_log_lines("start")[0].server
         system.cluster.set_fault("reset", link=f"link-{server}")
         call.join()
-        assert read_outcome_tag(answers[0]) == "unknown"
+        assert read_outcome(responses[0]) == "unknown"
         assert len(system.find_log_lines("start")) == 1
 
 
 def test_a_call_that_no_plain_service_accepts_is_answered_with_not_run():
     with deploy(engines=0, services=1) as system:
         system.cluster.set_fault("refuse", link="link-w1")
-        answer = system.call(
+        response = system.call(
             "n1", headers=make_headers("k1"), body={}, path="/services/listings/x"
         )
-        assert read_outcome_tag(answer) == "not_run"
+        assert read_outcome(response) == "not_run"
         assert system.find_log_lines("start") == []
--- a/tests/integration/test_orders.py
+++ b/tests/integration/test_orders.py
@@ -18,7 +18,7 @@
 LONGEST_PAUSE_S = 3.0
 INSTANCES = ("n1", "n2", "n3")
 ENGINES = ("s1", "s2")
-TAKEOVER_DEADLINE_S = 90.0
+TAKEOVER_TIMEOUT_S = 90.0
 
 
 class ControllerCluster(Cluster):
@@ -65,8 +65,8 @@
 
     def read_state(self, engine: str) -> dict[str, Any]:
         url = f"http://{self.addresses[engine]}/v1/state"
-        with urllib.request.urlopen(url, timeout=10.0) as answer:
-            return json.load(answer)
+        with urllib.request.urlopen(url, timeout=10.0) as response:
+            return json.load(response)
 
     def wait_for_versions(self) -> None:
         wanted = {f"dossier/{version}" for version in self.versions}
@@ -76,7 +76,7 @@
                 wanted <= set(self.read_state(name)["versions"]) for name in ENGINES
             )
 
-        wait_until(all_loaded, deadline_s=TAKEOVER_DEADLINE_S)
+        wait_until(all_loaded, timeout_s=TAKEOVER_TIMEOUT_S)
 
     def read_sent_orders(self, instance: str) -> list[dict[str, Any]]:
         """Return the log lines of the orders that an instance sent."""
@@ -112,8 +112,8 @@
             method="POST",
         )
         try:
-            with urllib.request.urlopen(request, timeout=10.0) as answer:
-                return answer.status
+            with urllib.request.urlopen(request, timeout=10.0) as response:
+                return response.status
         except urllib.error.HTTPError as error:
             return error.code
 
@@ -130,10 +130,11 @@
         paused_at = time.monotonic()
         wait_until(
             lambda: self.read_lease()["fence"] > first["fence"],
-            deadline_s=TAKEOVER_DEADLINE_S,
+            timeout_s=TAKEOVER_TIMEOUT_S,
         )
-        renewals_s = LeaseTiming().renew_after_s + 2.0
-        earliest_s = LeaseTiming().duration_s - renewals_s
+        # The holder may have renewed the lease this long before the pause.
+        renewal_age_s = LeaseTiming().renew_after_s + 2.0
+        earliest_s = LeaseTiming().duration_s - renewal_age_s
         assert time.monotonic() - paused_at >= earliest_s
         return first
 
@@ -172,7 +173,7 @@
         assert status == 200
         wait_until(
             lambda: len(cluster.list_sent_fences("s1", "dossier/2")) >= 2,
-            deadline_s=TAKEOVER_DEADLINE_S,
+            timeout_s=TAKEOVER_TIMEOUT_S,
         )
         cluster.wait_for_versions()
         assert min(cluster.list_sent_fences("s1", "dossier/2")) > first["fence"]
--- a/tests/integration/test_partitions.py
+++ b/tests/integration/test_partitions.py
@@ -7,14 +7,14 @@
 from ebonyhaven_standins.metric_samples import MetricSamples
 
 from tests.integration.test_entries import (
-    DEADLINE_S,
+    TIMEOUT_S,
     list_offered,
     wait_until_offered,
 )
 
 DATA_CENTRES = {"n1": "dc-a", "n2": "dc-a", "n3": "dc-b", "n4": "dc-b"}
 ALL_INSTANCES = set(DATA_CENTRES)
-QUIET_PERIOD_S = 4.0
+OBSERVATION_S = 4.0
 
 
 def start_behind_proxy(cluster: Cluster) -> None:
@@ -42,15 +42,15 @@
 
 def read_event_count(cluster: Cluster, name: str, event: str) -> float:
     url = f"http://{cluster.addresses[name]}/metrics"
-    with urllib.request.urlopen(url, timeout=DEADLINE_S) as answer:
-        samples = MetricSamples(answer.read().decode())
+    with urllib.request.urlopen(url, timeout=TIMEOUT_S) as response:
+        samples = MetricSamples(response.read().decode())
     return samples.sum("ebonyhaven_membership_events_total", f'event="{event}"')
 
 
 def wait_until(condition) -> None:
     started = time.monotonic()
     while not condition():
-        assert time.monotonic() - started < DEADLINE_S, "condition not met in time"
+        assert time.monotonic() - started < TIMEOUT_S, "condition not met in time"
         time.sleep(0.05)
 
 
@@ -83,10 +83,10 @@
         cluster.set_fault("silence_open", link="n1>n2")
         wait_until(lambda: read_event_count(cluster, "n2", "silences") >= 1)
 
-        def is_quiet() -> bool:
+        def is_silence_count_stable() -> bool:
             before = read_event_count(cluster, "n2", "silences")
-            time.sleep(QUIET_PERIOD_S)
+            time.sleep(OBSERVATION_S)
             return read_event_count(cluster, "n2", "silences") == before
 
-        wait_until(is_quiet)
+        wait_until(is_silence_count_stable)
         assert read_event_count(cluster, "n2", "suspicions") == suspicions
--- a/tests/integration/test_scheduling.py
+++ b/tests/integration/test_scheduling.py
@@ -7,7 +7,7 @@
 from ebonyhaven_standins.cluster import Cluster
 from ebonyhaven_standins.scenario import Deployment, ServerSpec, start_deployment
 
-DEADLINE_S = 30.0
+TIMEOUT_S = 30.0
 CANCEL_TARGET_S = 1.0
 ACTIVATION_TARGET_S = 9.0
 LOOK_UP = "look-up"
@@ -30,14 +30,14 @@
 def wait_for(condition):
     started = time.monotonic()
     while not (found := condition()):
-        assert time.monotonic() - started < DEADLINE_S, "condition not met in time"
+        assert time.monotonic() - started < TIMEOUT_S, "condition not met in time"
         time.sleep(0.02)
     return found
 
 
 def connect(cluster):
     host, port = cluster.addresses["n1"].split(":")
-    return http.client.HTTPConnection(host, int(port), timeout=DEADLINE_S)
+    return http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_S)
 
 
 def read_health(cluster):
@@ -62,18 +62,18 @@
 
 
 def try_look_up(cluster):
-    connection, answer = send(
+    connection, response = send(
         cluster, LOOK_UP, key=f"warm-{time.monotonic()}", max_tokens=1
     )
-    answer.read()
+    response.read()
     connection.close()
-    return answer.status == 200
+    return response.status == 200
 
 
-def read_outcome(answer):
-    """Return the outcome in an error response or in an error event of a stream."""
-    content = answer.read().decode()
-    if answer.status == 200:
+def read_error(response):
+    """Return the error object of an error response or of an error event in a stream."""
+    content = response.read().decode()
+    if response.status == 200:
         content = content.partition("event: error")[2].partition("data: ")[2]
     return json.loads(content)["error"]
 
@@ -90,9 +90,9 @@
 def test_run_is_cancelled_at_the_engine_when_its_caller_disconnects():
     with Cluster() as cluster:
         start_and_warm_up(cluster)
-        connection, answer = send(cluster, ANALYSIS, key="left", max_tokens=5000)
-        answer.readline()
-        answer.close()
+        connection, response = send(cluster, ANALYSIS, key="left", max_tokens=5000)
+        response.readline()
+        response.close()
         connection.close()
         disconnected_at = time.time()
         cancelled = wait_for(lambda: read_log(cluster, "cancel"))[0]
@@ -103,10 +103,10 @@
     with Cluster() as cluster:
         start_and_warm_up(cluster, "--capacity", "1")
         running, _ = send(cluster, LOOK_UP, key="held", max_tokens=5000)
-        late, answer = send(cluster, LOOK_UP, key="late", max_tokens=5)
-        outcome = read_outcome(answer)
-        assert outcome["outcome"] == "not_run"
-        assert outcome["retry_after_s"] > 0.0
+        late, response = send(cluster, LOOK_UP, key="late", max_tokens=5)
+        error = read_error(response)
+        assert error["outcome"] == "not_run"
+        assert error["retry_after_s"] > 0.0
         started = {line["run_id"] for line in read_log(cluster, "start")}
         running.close()
         late.close()
@@ -117,13 +117,13 @@
     with Cluster() as cluster:
         deployment = start_and_warm_up(cluster, "--capacity", "1")
         running, _ = send(cluster, ANALYSIS, key="held", max_tokens=5000)
-        queued, answer = send(cluster, ANALYSIS, key="waits", max_tokens=10)
+        queued, response = send(cluster, ANALYSIS, key="waits", max_tokens=10)
         declaration = deployment.make_declaration()
         declaration["classes"][ANALYSIS] |= {"first_token_ms": 600, "may_wait_ms": 0}
         cluster.declare(declaration)
         declared_at = time.monotonic()
-        outcome = read_outcome(answer)
-        assert outcome["outcome"] == "not_run"
+        error = read_error(response)
+        assert error["outcome"] == "not_run"
         assert time.monotonic() - declared_at <= ACTIVATION_TARGET_S
         running.close()
         queued.close()
--- a/tests/integration/trials.py
+++ b/tests/integration/trials.py
@@ -30,13 +30,13 @@
 
 from tests.reactor_thread import run_in_reactor
 
-DEADLINE_S = 60.0
+TIMEOUT_S = 60.0
 POLL_INTERVAL_S = 0.02
 WORKSPACE = "studio-a"
 OTHER_WORKSPACE = "studio-b"
 MODEL = "dossier"
-# The targets of the lenient class are loose, so that slow engines on a busy machine are
-# not treated as dead.
+# The lenient class has long latency targets, so that slow engines on a loaded machine
+# are not reported as failed.
 LENIENT_CLASS, LOW_LATENCY_CLASS = "steady", "prompt"
 
 
@@ -81,7 +81,7 @@
     }
 
 
-class PinnedEntries:
+class FixedEntryList:
     """Replacement for the entry list of a caller that always chooses one address."""
 
     def __init__(self, address):
@@ -91,7 +91,7 @@
         return self._address
 
     def mark_failed(self, address):
-        """Ignore the failure."""
+        """Ignore the failure; there is no other address."""
 
 
 @attrs.define(eq=False)
@@ -122,7 +122,7 @@
 
     def result(self) -> dict:
         """Block until the request has an outcome and return the caller's record."""
-        return self.future.result(DEADLINE_S)
+        return self.future.result(TIMEOUT_S)
 
     def _find_record(self):
         if self.future.done():
@@ -133,20 +133,20 @@
         return None
 
 
-def wait_until(condition, what: str, deadline_s: float = DEADLINE_S) -> None:
+def wait_until(condition, description: str, timeout_s: float = TIMEOUT_S) -> None:
     """Poll until a condition is true.
 
     Parameters
     ----------
     condition : callable
-    what : str
+    description : str
         Description of the condition for the failure message.
-    deadline_s : float
-        Time after which the wait fails.
+    timeout_s : float
+        Seconds after which the wait fails.
     """
-    end = time.monotonic() + deadline_s
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < end, f"timed out waiting for {what}"
+        assert time.monotonic() < deadline, f"timed out waiting for {description}"
         time.sleep(POLL_INTERVAL_S)
 
 
@@ -160,8 +160,6 @@
         self._streams: list[Stream] = []
         self._history = HistoryWriter(cluster.folder / "history.jsonl")
 
-    # Callers
-
     def send(
         self,
         prompt: str | None = None,
@@ -184,7 +182,7 @@
             caller chooses from the entry list.
         max_tokens : int
         total_timeout_s : float
-            Time from the first attempt until the caller gives up.
+            Timeout of the request over all attempts, from the first attempt on.
         sends_received : bool
             Whether reconnects carry the texts received so far.
         request_class : str
@@ -235,7 +233,7 @@
                 sends_received=sends_received,
             )
             if at is not None:
-                caller.entries = PinnedEntries(self.cluster.addresses.get(at, at))
+                caller.entries = FixedEntryList(self.cluster.addresses.get(at, at))
             completing = caller.complete(request)
             completing.addCallbacks(
                 future.set_result, lambda failed: future.set_exception(failed.value)
@@ -249,14 +247,12 @@
     def call(self, instance: str, *, headers=None, body=None, path="/v1/completions"):
         """Send one POST request and return the status and body of the response."""
         host, _, port = self.cluster.addresses[instance].rpartition(":")
-        connection = http.client.HTTPConnection(host, int(port), timeout=DEADLINE_S)
+        connection = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_S)
         with contextlib.closing(connection):
             data = body if isinstance(body, bytes) else json.dumps(body)
             connection.request("POST", path, data, headers or {})
-            answer = connection.getresponse()
-            return answer.status, answer.read()
-
-    # Faults
+            response = connection.getresponse()
+            return response.status, response.read()
 
     def kill_engine(self, name: str) -> None:
         """Kill an engine and record the fault in the timeline."""
@@ -274,8 +270,6 @@
         names = {self.cluster.addresses[name]: name for name in self.instances}
         return names[address]
 
-    # Evidence
-
     def find_log_lines(self, event: str, stream: Stream | None = None) -> list:
         """Return the execution log lines of an event, optionally of one stream."""
         lines = read_execution_logs(self.cluster.execution_logs.values())
@@ -314,7 +308,7 @@
         return report
 
     def wait_and_check_completed(self):
-        """Do the same as `wait_and_check` and assert that all streams completed."""
+        """Run `wait_and_check` and assert that all streams completed."""
         report = self.wait_and_check()
         outcomes = [describe_outcome(stream.result()) for stream in self._streams]
         assert report.completed == report.requests, outcomes
@@ -335,10 +329,10 @@
     return record["outcome"], last["step"], last["peer"], last["reason"]
 
 
-def make_prompt(pages: int = 4) -> str:
-    """Return a unique prompt that starts with a common prefix."""
-    page = "Inspection note of the corner pitch, with its plan and one complaint. "
-    return page * pages + f"File {uuid.uuid4().hex}."
+def make_prompt(prefix_repetitions: int = 4) -> str:
+    """Return a unique prompt that starts with the same prefix as all others."""
+    sentence = "Inspection note of the corner pitch, with its plan and one complaint. "
+    return sentence * prefix_repetitions + f"File {uuid.uuid4().hex}."
 
 
 @contextlib.contextmanager
@@ -406,12 +400,12 @@
         yield system
 
 
-def _start_engine(cluster, name, link, checks_fence, options) -> None:
+def _start_engine(cluster, name, behind_proxy, checks_fence, options) -> None:
     cluster.start_engine(
         name, *options, checks_fence=checks_fence, register=False, wait=False
     )
     address = cluster.addresses[name]
-    if link:
+    if behind_proxy:
         address = cluster.add_link(f"link-{name}", target=address)
     cluster.register_server(name, address=address)
 
--- a/tests/platform_adapter/stand_ins.py
+++ b/tests/platform_adapter/stand_ins.py
@@ -48,7 +48,7 @@
         self.changes: list[tuple[str, str, str | None, int]] = []
         self.version = 10
         self.is_down = False
-        self._waiting: list[tuple[server.Request, str, int]] = []
+        self._pending_polls: list[tuple[server.Request, str, int]] = []
 
     def put(self, table: str, key: str, document) -> None:
         self.version += 1
@@ -59,8 +59,8 @@
             value = base64.b64encode(json.dumps(document).encode()).decode()
             self.rows[table, key] = (value, self.version)
         self.changes.append((table, key, value, self.version))
-        waiting, self._waiting = self._waiting, []
-        for request, name, after in waiting:
+        polls, self._pending_polls = self._pending_polls, []
+        for request, name, after in polls:
             self._answer_feed(request, name, after)
 
     def render(self, request):
@@ -86,7 +86,7 @@
         if any(change[0] == table and change[3] > after for change in self.changes):
             return self._encode(self._list_changes(table, after))
         entry = (request, table, after)
-        self._waiting.append(entry)
+        self._pending_polls.append(entry)
         reactor.callLater(wait_s, self._expire, entry)
         return server.NOT_DONE_YET
 
@@ -97,8 +97,8 @@
         return self._encode([])
 
     def _expire(self, entry):
-        if entry in self._waiting:
-            self._waiting.remove(entry)
+        if entry in self._pending_polls:
+            self._pending_polls.remove(entry)
             self._answer_feed(*entry)
 
     def _answer_feed(self, request, table, after):
@@ -123,13 +123,16 @@
 
 
 class BackendServerStandIn(resource.Resource):
-    """Backend server that completes short requests and leaves streams to the test.
+    """Backend server that answers plain requests and streams events on demand.
+
+    A request with the header ``X-Token-Count`` opens a stream, which the test feeds
+    and closes. Any other request is answered at once.
 
     Attributes
     ----------
-    seen : list of dict
+    received_headers : list of dict
         Headers of the requests received.
-    open : list of Request
+    open_streams : list of Request
         Open streams.
     drops_next_request : bool
         Whether the connection of the next request is aborted without a response.
@@ -140,8 +143,8 @@
     def __init__(self, server_id):
         super().__init__()
         self.server_id = server_id
-        self.seen: list[dict[str, str]] = []
-        self.open: list[server.Request] = []
+        self.received_headers: list[dict[str, str]] = []
+        self.open_streams: list[server.Request] = []
         self.drops_next_request = False
 
     def render(self, request):
@@ -149,7 +152,7 @@
             name.decode().lower(): values[0].decode()
             for name, values in request.requestHeaders.getAllRawHeaders()
         }
-        self.seen.append(headers)
+        self.received_headers.append(headers)
         request.setHeader("X-Attempt-Id", headers.get("x-attempt-id", ""))
         request.setHeader("X-Server-Stamp", f"stamp-{self.server_id}")
         request.notifyFinish().addErrback(lambda _: self._forget(request))
@@ -160,22 +163,24 @@
         if "x-token-count" not in headers:
             return b"answer of " + self.server_id.encode()
         request.setHeader("Content-Type", "text/event-stream")
-        self.open.append(request)
+        self.open_streams.append(request)
         return server.NOT_DONE_YET
 
     def send_events(self, first, last):
         for number in range(first, last + 1):
-            self.open[-1].write(f"id: {number}\ndata: piece {number}\n\n".encode())
+            self.open_streams[-1].write(
+                f"id: {number}\ndata: piece {number}\n\n".encode()
+            )
 
     def finish(self):
-        self.open.pop().finish()
+        self.open_streams.pop().finish()
 
     def abort_stream(self):
-        self.open.pop().transport.abortConnection()
+        self.open_streams.pop().transport.abortConnection()
 
     def _forget(self, request):
-        if request in self.open:
-            self.open.remove(request)
+        if request in self.open_streams:
+            self.open_streams.remove(request)
 
 
 @attrs.define
--- a/tests/platform_adapter/test_program.py
+++ b/tests/platform_adapter/test_program.py
@@ -36,13 +36,13 @@
         self.engines = {name: BackendServerStandIn(name) for name in ("e-1", "e-2")}
         self.store_listener = listen(self.store)
         stack.callback(self.store_listener.stop)
-        self._list_server("p-1", self.plain, "plain", "dc-a", stack)
-        self._list_server("e-1", self.engines["e-1"], "engines", "dc-a", stack)
-        self._list_server("e-2", self.engines["e-2"], "engines", "dc-b", stack)
+        self._register_server("p-1", self.plain, "plain", "dc-a", stack)
+        self._register_server("e-1", self.engines["e-1"], "engines", "dc-a", stack)
+        self._register_server("e-2", self.engines["e-2"], "engines", "dc-b", stack)
         self.node = NodeProcess(self.store_listener.address)
         stack.callback(self.node.stop)
 
-    def _list_server(self, server_id, stand_in, service, data_centre, stack):
+    def _register_server(self, server_id, stand_in, service, data_centre, stack):
         listening = listen(stand_in)
         stack.callback(listening.stop)
         entry = make_entry(service, listening.address, data_centre)
@@ -59,8 +59,8 @@
         address = self.node.addresses.get(listener, self.node.metrics_address)
         connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
         connection.request("GET", path, headers=headers)
-        answer = connection.getresponse()
-        return answer.status, answer.read()
+        response = connection.getresponse()
+        return response.status, response.read()
 
     def is_ready(self):
         with contextlib.suppress(OSError):
@@ -85,8 +85,8 @@
 
     def find_streaming_engine(self):
         """Wait for an engine with an open stream and return it."""
-        wait_until(lambda: any(engine.open for engine in self.engines.values()))
-        return next(engine for engine in self.engines.values() if engine.open)
+        wait_until(lambda: any(engine.open_streams for engine in self.engines.values()))
+        return next(engine for engine in self.engines.values() if engine.open_streams)
 
     def explain(self, request_id):
         completed = subprocess.run(
@@ -121,9 +121,9 @@
         wait_until(lambda: harness.node.find_lines("instance_started"))
         wait_until(lambda: harness.call("readiness", "/ready")[0] == 503)
         connection = harness.send("/once/x", "r0")
-        answer = connection.getresponse()
-        assert answer.status == 503
-        assert float(answer.headers["Retry-After"]) > 0
+        response = connection.getresponse()
+        assert response.status == 503
+        assert float(response.headers["Retry-After"]) > 0
         harness.configure()
         wait_until(harness.is_ready)
         status, body = harness.call("directory", "/resolve?name=x&region=r1&zone=dc-a")
@@ -136,10 +136,10 @@
 
 def test_request_is_forwarded_and_its_routing_is_logged():
     with start_harness() as harness:
-        answer = harness.send("/once/x", "r1").getresponse()
-        assert (answer.status, answer.read()) == (200, b"answer of p-1")
-        assert harness.plain.seen[-1]["x-expect-instance"] == "p-1"
-        assert harness.plain.seen[-1]["x-tenant-name"] == "studio-a"
+        response = harness.send("/once/x", "r1").getresponse()
+        assert (response.status, response.read()) == (200, b"answer of p-1")
+        assert harness.plain.received_headers[-1]["x-expect-instance"] == "p-1"
+        assert harness.plain.received_headers[-1]["x-tenant-name"] == "studio-a"
         line = harness.node.wait_for_line("call_sent", request="r1")
         assert line["server"] == "p-1"
 
@@ -149,18 +149,18 @@
         connection = harness.send("/stream/x", "r-stream", X_Token_Count="800,70")
         first = harness.find_streaming_engine()
         call_in_reactor(first.send_events, 1, 3)
-        answer = connection.getresponse()
-        assert b"piece 1" in answer.read(24)
+        response = connection.getresponse()
+        assert b"piece 1" in response.read(24)
         call_in_reactor(first.abort_stream)
         second = harness.find_streaming_engine()
         assert second is not first
-        assert second.seen[-1]["last-event-id"] in ("1", "2", "3")
-        position = int(second.seen[-1]["last-event-id"])
+        assert second.received_headers[-1]["last-event-id"] in ("1", "2", "3")
+        position = int(second.received_headers[-1]["last-event-id"])
         call_in_reactor(second.send_events, position + 1, 5)
         call_in_reactor(second.finish)
-        remaining_events = answer.read().decode()
+        remaining_events = response.read().decode()
         assert remaining_events.count("piece 5") == 1
-        assert answer.headers["X-Server-Stamp"] == f"stamp-{first.server_id}"
+        assert response.headers["X-Server-Stamp"] == f"stamp-{first.server_id}"
         harness.node.wait_for_line("stream_resumed", request="r-stream")
         explanation = harness.explain("r-stream").splitlines()
         events = [line.split()[2] for line in explanation]
@@ -173,9 +173,9 @@
 def test_logs_explain_a_lost_request_that_is_not_retried():
     with start_harness() as harness:
         harness.plain.drops_next_request = True
-        answer = harness.send("/once/x", "r-lost").getresponse()
-        assert answer.status == 502
-        assert len(harness.plain.seen) == 1
+        response = harness.send("/once/x", "r-lost").getresponse()
+        assert response.status == 502
+        assert len(harness.plain.received_headers) == 1
         explanation = harness.explain("r-lost")
         assert "attempt_failed" in explanation
         assert "was_sent=True" in explanation
@@ -187,8 +187,8 @@
     with start_harness() as harness:
         assert harness.send("/once/x", "r1").getresponse().status == 200
         harness.configure(2, routes=("stream",))
-        answer = harness.send("/once/x", "r-dropped").getresponse()
-        assert answer.status == 404
+        response = harness.send("/once/x", "r-dropped").getresponse()
+        assert response.status == 404
         explanation = harness.explain("r-dropped")
         assert "configuration=2" in explanation
         assert "reason=no route matches" in explanation
@@ -214,13 +214,13 @@
         connection = harness.send("/stream/x", "r-last", X_Token_Count="800,70")
         engine = harness.find_streaming_engine()
         call_in_reactor(engine.send_events, 1, 1)
-        answer = connection.getresponse()
+        response = connection.getresponse()
         harness.node.terminate()
         harness.node.wait_for_line("instance_leaving")
         wait_until(lambda: harness.call("readiness", "/ready")[0] == 503)
         call_in_reactor(engine.send_events, 2, 2)
         call_in_reactor(engine.finish)
-        assert answer.read().decode().count("piece") == 2
+        assert response.read().decode().count("piece") == 2
         assert harness.node.process.wait(TIMEOUT_S) == 0
         assert harness.node.find_lines("instance_stopped")
 
--- a/tests/platform_adapter/test_source.py
+++ b/tests/platform_adapter/test_source.py
@@ -35,33 +35,33 @@
 
     def __init__(self):
         self.calls = []
-        self.answers = {"op": deque(), "servers": deque()}
-        self.waiting = {}
+        self.responses = {"op": deque(), "servers": deque()}
+        self.pending_calls = {}
 
     async def read_table(self, table, *, timeout_s):
-        return await self._answer(table, ("table", table, None))
+        return await self._respond(table, ("table", table, None))
 
     async def read_changes(self, table, after, *, wait_s, timeout_s):
-        return await self._answer(table, ("changes", table, after))
+        return await self._respond(table, ("changes", table, after))
 
-    async def _answer(self, table, call):
+    async def _respond(self, table, call):
         self.calls.append(call)
-        if not self.answers[table]:
-            self.waiting[table] = Deferred()
-            return await self.waiting[table]
-        answer = self.answers[table].popleft()
-        if isinstance(answer, StoreError):
-            raise answer
-        return answer
-
-    def push(self, table, answer):
-        waiting = self.waiting.pop(table, None)
-        if waiting is None:
-            self.answers[table].append(answer)
-        elif isinstance(answer, StoreError):
-            waiting.errback(answer)
+        if not self.responses[table]:
+            self.pending_calls[table] = Deferred()
+            return await self.pending_calls[table]
+        response = self.responses[table].popleft()
+        if isinstance(response, StoreError):
+            raise response
+        return response
+
+    def push(self, table, response):
+        pending_call = self.pending_calls.pop(table, None)
+        if pending_call is None:
+            self.responses[table].append(response)
+        elif isinstance(response, StoreError):
+            pending_call.errback(response)
         else:
-            waiting.callback(answer)
+            pending_call.callback(response)
 
 
 def make_rows(version, **contents):
--- a/tests/reactor_thread.py
+++ b/tests/reactor_thread.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.threads import blockingCallFromThread
 
-DEADLINE_S = 60.0
+TIMEOUT_S = 60.0
 _start_lock = threading.Lock()
 
 
@@ -23,11 +23,11 @@
         threading.Thread(
             target=reactor.run, kwargs={"installSignalHandlers": False}, daemon=True
         ).start()
-        started.wait(DEADLINE_S)
+        started.wait(TIMEOUT_S)
 
 
 def run_in_reactor(
-    function: Callable[..., Coroutine], *arguments: Any, deadline_s: float = DEADLINE_S
+    function: Callable[..., Coroutine], *arguments: Any, timeout_s: float = TIMEOUT_S
 ) -> Any:
     """Run a coroutine function on the reactor and return its result.
 
@@ -39,8 +39,8 @@
         Coroutine function.
     *arguments : object
         Positional arguments for it.
-    deadline_s : float
-        Timeout after which the coroutine is cancelled.
+    timeout_s : float
+        Seconds after which the coroutine is cancelled.
 
     Returns
     -------
@@ -56,6 +56,6 @@
 
     def start() -> Deferred:
         result = Deferred.fromCoroutine(function(*arguments))
-        return result.addTimeout(deadline_s, reactor)
+        return result.addTimeout(timeout_s, reactor)
 
     return blockingCallFromThread(reactor, start)
--- a/tests/standins/test_caller_connections.py
+++ b/tests/standins/test_caller_connections.py
@@ -20,8 +20,8 @@
 
 from tests.reactor_thread import run_in_reactor
 
-QUEUED_CONNECTIONS = 4
-# answer_s expires before connect_s and cancels the pending connection.
+QUEUED_CONNECTION_COUNT = 4
+# response_timeout_s expires first and cancels the pending connection.
 LIMITS = CallerLimits(
     connect_timeout_s=30.0, response_timeout_s=0.3, total_timeout_s=0.5
 )
@@ -38,7 +38,7 @@
         return self._address
 
     def mark_failed(self, address: str) -> None:
-        """Keep the only address."""
+        """Ignore the failure; there is no other address."""
 
 
 @contextlib.contextmanager
@@ -50,7 +50,7 @@
         listener = stack.enter_context(socket.socket())
         listener.bind((host, int(port)))
         listener.listen(0)
-        for _ in range(QUEUED_CONNECTIONS):
+        for _ in range(QUEUED_CONNECTION_COUNT):
             queued_connection = stack.enter_context(socket.socket())
             queued_connection.setblocking(False)
             queued_connection.connect_ex((host, int(port)))
--- a/tests/standins/test_checker.py
+++ b/tests/standins/test_checker.py
@@ -210,7 +210,7 @@
     assert run_check(make_record(), lines=lines).passed
 
 
-def test_work_on_server_that_left_is_reported():
+def test_work_on_leaving_server_after_grace_period_is_reported():
     leaving = TimelineEvent(3.0, TimelineKind.SERVER_LEAVING, "s1")
     live = TimelineEvent(5.0, TimelineKind.SERVER_LIVE, "s1")
     report = run_check(timeline=[leaving])
--- a/tests/standins/test_demo.py
+++ b/tests/standins/test_demo.py
@@ -8,7 +8,7 @@
     return {**record, **changes}
 
 
-def test_undecidable_request_is_unknown_non_repeatable_and_without_tokens():
+def test_unavoidable_unknown_is_non_repeatable_and_without_tokens():
     assert count_unavoidable_unknowns([make_record()]) == 1
     assert count_unavoidable_unknowns([make_record(repeatable=True)]) == 0
     assert count_unavoidable_unknowns([make_record(tokens=["a"])]) == 0
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -149,7 +149,7 @@
 
 
 def test_start_is_refused_if_model_missing_full_or_leaving():
-    """Each of these refusals means that nothing was started."""
+    """The refused requests start no run."""
     harness = EngineHarness(capacity=1, max_waiting=1)
     assert harness.try_start(model="other") == (404, "model_not_loaded")
     harness.start("r1")
@@ -208,13 +208,13 @@
 
 def test_unattended_run_is_cancelled_and_finished_output_expires():
     harness = EngineHarness(unattended_s=2.0, keep_s=2.0)
-    unattended_run, reader = harness.start("lonely", max_tokens=1000)
+    unattended_run, reader = harness.start("unattended", max_tokens=1000)
     harness.start("short", max_tokens=1)
     harness.engine.detach(unattended_run, reader)
     harness.advance(1.5)
-    assert harness.engine.find("lonely", "g1", 0) is unattended_run
+    assert harness.engine.find("unattended", "g1", 0) is unattended_run
     harness.advance(3.0)
-    for run_id in ("lonely", "short"):
+    for run_id in ("unattended", "short"):
         try:
             harness.engine.find(run_id, "g1", 0)
         except RefusedError as refused:
--- a/tests/standins/test_fault_proxy.py
+++ b/tests/standins/test_fault_proxy.py
@@ -15,7 +15,7 @@
 TIMEOUT_S = 30.0
 SILENCE_TIMEOUT_S = 0.3
 CONTROL_PORT, TARGET_PORT, LINK_PORT, ENGINE_PORT = 31001, 31002, 31003, 31004
-# Clusters in the same process allocate hosts from 1 upwards.
+# Last octet. Clusters in the same process allocate it from 1 upwards, so 254 is free.
 HOST_NUMBER = 254
 
 
@@ -44,8 +44,8 @@
         http.client.HTTPConnection(derive_host(), port)
     ) as connection:
         connection.request("POST", path, json.dumps(body))
-        answer = connection.getresponse()
-        return answer.status, answer.read()
+        response = connection.getresponse()
+        return response.status, response.read()
 
 
 def set_fault(kind, **options):
--- a/tests/standins/test_load_measures.py
+++ b/tests/standins/test_load_measures.py
@@ -4,7 +4,7 @@
 from ebonyhaven_standins.bench._load_measures import LatencyTargets, Window
 from ebonyhaven_standins.bench._open_loop import parse_error_outcome
 
-LIMITS = {"look-up": LatencyTargets(first_token_s=0.5, gap_s=0.062)}
+TARGETS = {"look-up": LatencyTargets(first_token_s=0.5, gap_s=0.062)}
 
 
 def make_record(**options):
@@ -26,16 +26,16 @@
 
 
 def test_late_interrupted_or_slow_requests_miss_target():
-    assert measures.is_in_target(make_record(), LIMITS)
-    assert not measures.is_in_target(make_record(first_token_s=1.6), LIMITS)
-    assert not measures.is_in_target(make_record(outcome="cut"), LIMITS)
-    assert not measures.is_in_target(make_record(ended_s=2.0), LIMITS)
+    assert measures.is_in_target(make_record(), TARGETS)
+    assert not measures.is_in_target(make_record(first_token_s=1.6), TARGETS)
+    assert not measures.is_in_target(make_record(outcome="cut"), TARGETS)
+    assert not measures.is_in_target(make_record(ended_s=2.0), TARGETS)
 
 
 def test_goodput_counts_only_in_target_tokens_of_window():
     late = make_record(first_token_s=1.6)
     window = Window(1.22, 2.22)
-    assert measures.measure_goodput([make_record(), late], LIMITS, window) == 2.0
+    assert measures.measure_goodput([make_record(), late], TARGETS, window) == 2.0
 
 
 def test_jain_index_of_equal_and_unequal_service():
@@ -56,13 +56,13 @@
     ]
     rejected = [make_record(at_s=2.5, outcome="refused") for _ in range(5)]
     recovery_s = measures.measure_recovery_s(
-        in_target + rejected, LIMITS, fault_s=1.0, end_s=9.0
+        in_target + rejected, TARGETS, fault_s=1.0, end_s=9.0
     )
     assert recovery_s == 2.0
     rejected_until_end = [make_record(at_s=8.5, outcome="refused") for _ in range(5)]
     assert (
         measures.measure_recovery_s(
-            in_target + rejected_until_end, LIMITS, fault_s=1.0, end_s=9.0
+            in_target + rejected_until_end, TARGETS, fault_s=1.0, end_s=9.0
         )
         is None
     )
--- a/tests/store_client/test_clients.py
+++ b/tests/store_client/test_clients.py
@@ -52,8 +52,8 @@
         await transport.close()
 
 
-def make_retry_policy(seconds: float = 30.0) -> RetryPolicy:
-    return RetryPolicy(reactor.seconds() + seconds, random.Random(1))
+def make_retry_policy(timeout_s: float = 30.0) -> RetryPolicy:
+    return RetryPolicy(reactor.seconds() + timeout_s, random.Random(1))
 
 
 def test_transaction_applies_all_writes_or_none():
@@ -227,13 +227,13 @@
 
 
 def test_resolve_write_retries_through_an_outage_until_its_deadline():
-    async def write(table: TableClient, seconds: float) -> WriteResult:
+    async def write(table: TableClient, timeout_s: float) -> WriteResult:
         return await resolve_write(
             table,
             make_transaction("mine", 0),
             marker_key="a",
             clock=reactor,
-            retry_policy=make_retry_policy(seconds),
+            retry_policy=make_retry_policy(timeout_s),
         )
 
     async def check(address: str):
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -5,21 +5,19 @@
 import time
 from collections.abc import Callable
 
-DEADLINE_S = 60.0
+TIMEOUT_S = 60.0
 POLL_INTERVAL_S = 0.02
 
 
-def wait_until(
-    condition: Callable[[], bool], *, deadline_s: float = DEADLINE_S
-) -> float:
+def wait_until(condition: Callable[[], bool], *, timeout_s: float = TIMEOUT_S) -> float:
     """Poll until a condition is true.
 
     Parameters
     ----------
     condition : callable
         Predicate without arguments.
-    deadline_s : float
-        Time after which the wait fails.
+    timeout_s : float
+        Seconds after which the wait fails.
 
     Returns
     -------
@@ -33,6 +31,6 @@
     """
     started = time.monotonic()
     while not condition():
-        assert time.monotonic() - started < deadline_s, "condition not met in time"
+        assert time.monotonic() - started < timeout_s, "condition not met in time"
         time.sleep(POLL_INTERVAL_S)
     return time.monotonic() - started
--- a/tools/doc_blocks.py
+++ b/tools/doc_blocks.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-_BLOCK = re.compile(
+_BLOCK_PATTERN = re.compile(
     r"(?:`(?P<name>[^`\n]+)`:\n\n)?^```(?P<language>\w+)\n(?P<text>.*?)^```$",
     re.MULTILINE | re.DOTALL,
 )
@@ -45,6 +45,6 @@
     """
     text = (ROOT / page).read_text()
     return [
-        Block(found["language"], found["name"] or "", found["text"])
-        for found in _BLOCK.finditer(text)
+        Block(match["language"], match["name"] or "", match["text"])
+        for match in _BLOCK_PATTERN.finditer(text)
     ]
--- a/tools/test_run.py
+++ b/tools/test_run.py
@@ -14,12 +14,12 @@
 from nose2.plugins import mp
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-KNOWN_RED_PATH = ROOT / "KNOWN-RED.txt"
+KNOWN_FAILURES_PATH = ROOT / "KNOWN-RED.txt"
 ENTRY_PREFIX = "test: "
 PARALLEL_OPTIONS = ("--plugin", "nose2.plugins.mp", "-N", "4")
 
 
-def read_known_red(path: pathlib.Path) -> frozenset[str]:
+def read_known_failures(path: pathlib.Path) -> frozenset[str]:
     """Return the names of the tests that are known to fail.
 
     Parameters
@@ -101,7 +101,7 @@
         exit=False,
         extraHooks=[("testOutcome", recorder)],
     )
-    known = read_known_red(KNOWN_RED_PATH)
+    known = read_known_failures(KNOWN_FAILURES_PATH)
     for name in sorted(recorder.failed & known):
         print(f"known red, passed over: {name}")
     failed = recorder.failed - known
