--- a/packages/decisions/src/ebonyhaven_decisions/forwarding/_backends.py
+++ b/packages/decisions/src/ebonyhaven_decisions/forwarding/_backends.py
@@ -10,10 +10,10 @@
 
 SUSPECT_MIN_S = 0.4  # a third of the restart time of a server on a fast machine
 SUSPECT_MAX_S = 3.0  # limits the time until a recovered server is sent requests
-REPLACED_SUSPECT_S = 10.0  # longer than an entry is listed after its process ended
+REPLACED_SUSPECT_S = 10.0  # exceeds the time for which a dead process stays listed
 REMOVED_USABLE_S = 1.5  # shorter than the drain time of a leaving server
 LOAD_REPORT_TTL_S = 1.0  # older reports do not reflect the current load
-SMOOTHING_FACTOR = 0.2
+RESULT_SMOOTHING_FACTOR = 0.2
 DEFAULT_LATENCY_S = 0.05
 
 
@@ -62,8 +62,10 @@
     ----------
     in_flight : int
         Requests of this instance in flight at the server.
+    runs : int
+        Not updated; always 0.
     run_tokens, copy_tokens : int
-        Engine memory that runs and copies of this instance occupy.
+        Engine memory used by runs and copies of this instance, in tokens.
     prefill_tokens : int
         Prompt tokens of this instance that the engine has yet to prefill.
     suspect_until : float
@@ -161,7 +163,9 @@
         return now - self.removed_at < REMOVED_USABLE_S and now >= self.suspect_until
 
     def record_unreachable(self, now: float) -> None:
-        """Suspect the server for a time that doubles with each failure.
+        """Suspect the server for a time that doubles with each failure, up to a limit.
+
+        Failures while the server is already suspected are not counted.
 
         Parameters
         ----------
@@ -207,9 +211,9 @@
             unknown.
         """
         failed = 0.0 if succeeded else 1.0
-        self.failure_share += SMOOTHING_FACTOR * (failed - self.failure_share)
+        self.failure_share += RESULT_SMOOTHING_FACTOR * (failed - self.failure_share)
         if succeeded and latency_s is not None:  # fast failures would lower the average
-            self.latency_s += SMOOTHING_FACTOR * (latency_s - self.latency_s)
+            self.latency_s += RESULT_SMOOTHING_FACTOR * (latency_s - self.latency_s)
 
     def record_load(self, load: int, now: float) -> None:
         """Record the load that the server reports with a response.
--- a/packages/node/src/ebonyhaven_node/_control_plane.py
+++ b/packages/node/src/ebonyhaven_node/_control_plane.py
@@ -67,7 +67,7 @@
     Returns
     -------
     PoolControllers
-        Releases the held leases when the node leaves.
+        Controllers of the pools; their `release` releases the leases of this instance.
     """
     pools = _build_pool_controllers(dependencies)
     stack.callback(pools.stop)
--- a/packages/node/src/ebonyhaven_node/_lease_lifecycle.py
+++ b/packages/node/src/ebonyhaven_node/_lease_lifecycle.py
@@ -10,7 +10,7 @@
 
 
 class LeaseState(enum.StrEnum):
-    """Whether this instance watches a lease or holds it."""
+    """``HOLDING`` while this instance holds the lease, otherwise ``WATCHING``."""
 
     WATCHING = "watching"
     HOLDING = "holding"
--- a/packages/node/src/ebonyhaven_node/_lifecycles.py
+++ b/packages/node/src/ebonyhaven_node/_lifecycles.py
@@ -10,7 +10,7 @@
 
 
 class RunState(enum.StrEnum):
-    """States of a run."""
+    """State of a run on the instance that relays it."""
 
     WAITING = "waiting"
     DISPATCHING = "dispatching"
@@ -47,7 +47,7 @@
 
 
 class StateObserver:
-    """Observes state changes.
+    """Observer of state changes of a run.
 
     Parameters
     ----------
@@ -99,4 +99,5 @@
     return builder.build()
 
 
+# Called with an observer; returns the state machine of a run in the state `WAITING`.
 make_run_lifecycle = _build_machine()
--- a/packages/node/src/ebonyhaven_node/_run_claims.py
+++ b/packages/node/src/ebonyhaven_node/_run_claims.py
@@ -92,13 +92,15 @@
         Returns
         -------
         bool
-            True if the run must be dispatched immediately; False if the run of the
-            existing claim is to be attached to.
+            True if the run must be dispatched immediately; False if the run is
+            already claimed and the request must be attached to that run.
 
         Raises
         ------
         RequestFailure
-            With ``not_run``; the run must not be dispatched.
+            With ``not_run``, if the claim is not written in time, the idempotency
+            key was used with a different body, or the claim no longer allows the
+            dispatch; the run must not be dispatched.
         ClaimUnavailable
             If the table is unavailable; the insert may be retried later.
         """
@@ -139,8 +141,8 @@
         Returns
         -------
         bool
-            False if another instance moved the claim first; its run is to be
-            attached to.
+            False if another instance moved the claim first; the request must then
+            be attached to the run of that instance.
 
         Raises
         ------
@@ -175,7 +177,10 @@
             await self._claims.withdraw(self._request.run_id, claim)
 
     async def _ensure_may_dispatch(self, claim: Claim, deadline: float) -> None:
-        """Withdraw the claim and raise `RequestFailure` if it is too old."""
+        """Withdraw the claim and raise `RequestFailure` if it is no longer valid.
+
+        That is after the deadline, or if the process was paused since the write.
+        """
         if may_dispatch(
             write_sent_at=claim.write_sent_at,
             deadline=deadline,
--- a/packages/node/src/ebonyhaven_node/exceptions.py
+++ b/packages/node/src/ebonyhaven_node/exceptions.py
@@ -53,7 +53,7 @@
     peer : str
         Name of the backend server.
     step : str
-        Step at which the engine was lost.
+        Step that failed: ``start``, ``attach``, ``cancel`` or ``find``.
     closed : bool
         Whether the connection was closed; False, for example, after a timeout.
     """
--- a/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_adoption.py
@@ -11,8 +11,8 @@
 from ebonyhaven_node.forwarding._state import ForwardingState
 from ebonyhaven_node.forwarding.interfaces import ServerInspector, StateSource
 
-# Servers publish entries that expired in an outage again within 2 s.
-CONFIRMATION_TIMEOUT_S = 2.5
+# After an outage, servers republish their expired entries within 2 s.
+ADOPTION_CONFIRMATION_TIMEOUT_S = 2.5
 
 _log = structlog.get_logger()
 
@@ -71,14 +71,15 @@
         )
 
     def remove_unconfirmed(self) -> None:
-        """Remove adopted engines that the list has not confirmed in time.
+        """Remove adopted engines that the list does not contain.
 
-        To be called periodically.
+        Call this periodically. Engines are removed only after the list has been
+        readable for `ADOPTION_CONFIRMATION_TIMEOUT_S`.
         """
         now = self._clock()
         if self._source.is_unresponsive():
             self._last_unresponsive_at = now
-        elif now - self._last_unresponsive_at > CONFIRMATION_TIMEOUT_S:
+        elif now - self._last_unresponsive_at > ADOPTION_CONFIRMATION_TIMEOUT_S:
             self._inspected_ids.clear()
             self._state.remove_adopted_backends()
 
--- a/packages/standins/src/ebonyhaven_standins/bench/configuration.py
+++ b/packages/standins/src/ebonyhaven_standins/bench/configuration.py
@@ -24,10 +24,10 @@
 DEFAULT_CHANGES = 10
 IN_FORCE_TIMEOUT_S = 60.0
 LOG_POLL_INTERVAL_S = 0.01
-SETTLING_TIME_S = 2.0
+SETTLING_TIME_S = 2.0  # pause after the start and after each change
 TABLE_LOAD_DURATION_S = 20.0
-IN_FORCE_TARGET_S = 3.0
-IN_FORCE_BOUND_S = 9.0
+IN_FORCE_TARGET_S = 3.0  # only reported
+IN_FORCE_BOUND_S = 9.0  # the benchmark fails if a change takes longer
 TABLE_LINK = "table"
 IN_FORCE_EVENT_MARKER = '"configuration_in_force"'
 
@@ -65,7 +65,16 @@
 
 
 class TableLoad(TypedDict):
-    """Reads and writes of the table per second without requests and changes."""
+    """Reads and writes of the table per second without requests and changes.
+
+    Parameters
+    ----------
+    instances : int
+    seconds : float
+        Requested length of the measurement.
+    reads_per_s, writes_per_s : float
+        Averages over the actual length of the measurement.
+    """
 
     instances: int
     seconds: float
@@ -193,13 +202,19 @@
 
 
 def _wait_for_all(cluster: Cluster, names: list[str], version: int) -> float:
-    """Wait until all instances have a version in force; return the time of the last."""
+    """Wait until a version or a later one is in force on all instances.
+
+    Returns the Unix time at which the last instance logged it, in seconds.
+    """
     times = [_wait_for_any(cluster, [name], version) for name in names]
     return max(times)
 
 
 def _wait_for_any(cluster: Cluster, names: list[str], version: int) -> float:
-    """Wait until an instance has a version in force; return its time."""
+    """Wait until a version or a later one is in force on any of the instances.
+
+    Returns the Unix time at which that instance logged it, in seconds.
+    """
     deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
     while time.monotonic() < deadline:
         for name in names:
@@ -226,7 +241,8 @@
     Parameters
     ----------
     instances, changes : int
-        Number of node processes, and of changes in each series.
+        Number of node processes, and of changes in each series. The load is measured
+        with a third of the instances, with all and with twice as many.
 
     Returns
     -------
@@ -255,7 +271,7 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the benchmark; exit with status 1 if a series is broken."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--instances", type=int, default=DEFAULT_INSTANCES)
     parser.add_argument("--changes", type=int, default=DEFAULT_CHANGES)
--- a/packages/standins/src/ebonyhaven_standins/caller/_connection.py
+++ b/packages/standins/src/ebonyhaven_standins/caller/_connection.py
@@ -49,7 +49,10 @@
 
 
 def parse_outcome(content: bytes | str) -> ConnectionResult:
-    """Return the outcome tag in the content of an error response or error event."""
+    """Parse the content of an error response or error event.
+
+    The outcome is ``untagged`` if the content is malformed.
+    """
     try:
         fields = json.loads(content)["error"]
         return ConnectionResult(
@@ -132,6 +135,7 @@
         if event.kind == "error":
             self._finish(parse_outcome(event.data))
         elif event.data == DONE_DATA:
+            # `_finish` uses only the first result.
             if not self._has_finish_reason:
                 self._finish(ConnectionResult(outcome=CUT, reason="DONE before finish"))
             self._finish(ConnectionResult(outcome="completed"))
--- a/packages/standins/src/ebonyhaven_standins/engine/_tokens.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_tokens.py
@@ -13,7 +13,7 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return the number of tokens in a text, at four characters per token.
+    """Return the number of tokens in a text, at four characters each, rounded up.
 
     Parameters
     ----------
