--- a/packages/decisions/src/ebonyhaven_decisions/_configuration.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_configuration.py
@@ -3,9 +3,9 @@
 An instance with an active configuration only replaces it by a higher version. A
 starting instance activates the version in the table. If the table is unavailable,
 it collects reports from a quorum, more than half of the listed instances. It then
-activates the highest version that it knows, once a peer has sent its content. Any
-two majorities intersect: if a version was active on more than half of the
-instances, at least one of them reports this version or a higher one.
+activates the highest version that it knows, once a peer has sent the content of
+this version. Any two majorities intersect: if a version was active on more than
+half of the instances, at least one of them reports this version or a higher one.
 
 A starting instance has no active version to report, so versions that it only knows
 from peers do not count towards the quorum of another instance. It counts only
@@ -90,9 +90,10 @@
 ) -> ConfigurationView:
     """Return the view after the current entry was read from the table.
 
-    A stale read activates nothing. It is stale if its version is not above the
-    active one or, on a starting instance, below the highest known one. A later read
-    returns the newer version.
+    A stale read activates nothing. With an active configuration, a read is stale
+    unless its version is higher than the active one. On a starting instance, it is
+    stale if its version is lower than the highest known one; a later read returns
+    the newer version.
     """
     highest = max(view.highest_version, entry.version)
     updated = attrs.evolve(view, highest_version=highest)
--- a/packages/decisions/src/ebonyhaven_decisions/_crashes.py
+++ b/packages/decisions/src/ebonyhaven_decisions/_crashes.py
@@ -18,18 +18,22 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-STRONG_PROGRESS_TOKENS = 32
+STRONG_EVIDENCE_LIMIT_TOKENS = 32  # fewer tokens make a crash strong evidence
 MAX_CRASHES = 2
 MAX_WEAK_CRASHES = 4
 EVIDENCE_TTL_S = 600.0
 EVIDENCE_WAIT_S = 1.5
 MAX_CONTENTS = 4096
-SAME_CRASH_WINDOW_S = 30.0  # reports of a server in this time mean one crash
+# Reports about a server within this time refer to the same crash.
+SAME_CRASH_WINDOW_S = 30.0
 
 
 class CrashVerdict(enum.Enum):
     """Decision about a request content.
 
+    ``CLEAR`` means that there is no evidence, ``SUSPECT`` that there is too little to
+    block the content, and ``STOPPED`` that the content is blocked.
+
     ``UNDECIDED`` lasts for up to `EVIDENCE_WAIT_S` after the last crash if the content
     had produced tokens at one of the counted crashes: until then, another instance
     may report that the same crash affected a content without any token.
@@ -71,7 +75,7 @@
         Number of counted crashes that block a content if the last one is strong
         evidence.
     max_weak_crashes : int
-        Number of crashes that block a content in any case.
+        Number of crashes, weak or strong evidence, that block a content in any case.
     """
 
     __slots__ = ("_evidence", "_max_crashes", "_max_weak_crashes", "_tokenless_crashes")
@@ -103,7 +107,7 @@
         now : float
             Present time, seconds.
         """
-        is_strong = progress_tokens < STRONG_PROGRESS_TOKENS
+        is_strong = progress_tokens < STRONG_EVIDENCE_LIMIT_TOKENS
         self._add(content, CrashEvidence(server, now, is_strong, progress_tokens == 0))
 
     def evaluate(self, content: str, *, now: float) -> CrashVerdict:
@@ -189,7 +193,11 @@
         return tokenless_at is None or abs(item.at - tokenless_at) > SAME_CRASH_WINDOW_S
 
     def _add(self, content: str, item: CrashEvidence) -> None:
-        """Store the first report of each crash; evict the oldest content if full."""
+        """Store a crash; evict the oldest content if the ledger is full.
+
+        Further crashes of the same server within `EVIDENCE_TTL_S` are ignored: they
+        may be reports of the same crash by other instances.
+        """
         if item.is_tokenless:
             self._tokenless_crashes.pop(item.server, None)
             self._tokenless_crashes[item.server] = item.at
--- a/packages/node/src/ebonyhaven_node/_drivers.py
+++ b/packages/node/src/ebonyhaven_node/_drivers.py
@@ -47,7 +47,12 @@
 
 
 class Signal(enum.Enum):
-    """Changes in the state of a run that its driver waits for."""
+    """Changes in the state of a run that its driver waits for.
+
+    ``SILENCE`` means that no token arrived in time, ``LOST`` that the last open stream
+    was lost, ``ENDED`` that the run has ended, and ``ABANDONED`` that the caller did
+    not reconnect within `DETACH_GRACE_S`.
+    """
 
     SILENCE = "silence"
     LOST = "lost"
@@ -203,10 +208,12 @@
     async def _recover(self, signal: Signal) -> None:
         """Recover a run whose stream is silent or lost.
 
-        The engine is probed. If it still has the run and the limit of probes
-        without a token is not exceeded, the driver keeps waiting for it. Otherwise
-        the run is continued elsewhere. The continuation starts in parallel with the
-        probe if the resume plan requires it and the request is repeatable.
+        The engine is probed. The driver keeps waiting for it if the run has
+        progressed since, or if the engine still has the run and the limit of probes
+        without a token is not exceeded. Otherwise the run is continued elsewhere. The
+        continuation starts in parallel with the probe if the resume plan requires it,
+        the request is repeatable and a token has been relayed. Without
+        ``continue_runs``, the run fails instead.
         """
         if not self._dependencies.continue_runs:
             raise self._make_server_failure(OutcomeTag.FAILED, "relay", "engine lost")
@@ -285,7 +292,10 @@
     async def _continue_on_server(
         self, slot: Slot, token_count: int, deadline: float
     ) -> bool:
-        """Try one server; return False if another one must be tried."""
+        """Continue on the server of a slot; return False if another must be tried.
+
+        The result is also True if the run needs no continuation any more.
+        """
         if self._claim.is_required and not await self._move_claim(slot, deadline):
             return True
         if self._has_progressed(token_count):
@@ -347,7 +357,7 @@
     async def _restart(self, excluded: set[str], deadline: float) -> None:
         """Restart a run of which no token was relayed.
 
-        A run with a claim is not restarted but attached to.
+        If the run requires a claim, attach to the primary server instead.
         """
         if self._claim.is_required:
             await self._opener.attach_with_retries(self._candidates.primary)
@@ -369,7 +379,7 @@
     async def _open_existing(self, server: BackendServer | None) -> None:
         """Attach to the server in ``Last-Event-ID``, or continue elsewhere.
 
-        A continuation requires the tokens that the caller has received.
+        If the caller has received tokens, a continuation requires them.
         """
         self._lifecycle.dispatch()
         self._opener.may_have_run = True
--- a/packages/node/src/ebonyhaven_node/forwarding/_progress.py
+++ b/packages/node/src/ebonyhaven_node/forwarding/_progress.py
@@ -15,7 +15,7 @@
 
 
 class StreamProgress:
-    """Delivers each event of a stream once and measures the delays.
+    """Delivers each event of a stream once and reports missed latency and gap targets.
 
     Parameters
     ----------
@@ -35,8 +35,8 @@
     is_complete : bool
         Whether the complete stream was delivered.
     resume_source : str or None
-        ``copy`` or ``prompt`` from a resume until the next event is delivered, else
-        None.
+        What the stream was resumed from: a ``copy`` of the run or the ``prompt``.
+        None if an event was delivered since, or if there was no resume.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         Parameters
         ----------
         now : float
-            Seconds.
+            Time of the context's clock, seconds.
 
         Returns
         -------
@@ -102,7 +102,7 @@
         events : list of bytes
         head : ResponseHead
         now : float
-            Seconds.
+            Time of the context's clock, seconds.
         """
         if not events:
             return
@@ -122,7 +122,7 @@
         ----------
         head : ResponseHead
         remainder : bytes
-            Bytes after the last event.
+            Bytes after the last complete event.
         """
         if not self._exchange.is_started:
             self._exchange.start_stream(head.status, head.headers)
--- a/packages/standins/src/ebonyhaven_standins/engine/_engine.py
+++ b/packages/standins/src/ebonyhaven_standins/engine/_engine.py
@@ -56,7 +56,7 @@
     attempt : int
         Number of the attempt, from 1.
     max_tokens : int
-        Length of the whole output, including ``continue_from``.
+        Length of the whole output in tokens, including ``continue_from``.
     priority : int
         Priority in the queue; 0 is the highest.
     fence : int
@@ -104,7 +104,8 @@
 class Engine:
     """Simulated engine that starts, continues and cancels runs.
 
-    Ended runs and runs without a subscriber expire after the times in the settings.
+    Ended runs expire after the setting ``keep_s``, runs without a subscriber after
+    ``unattended_s``.
 
     Parameters
     ----------
@@ -155,7 +156,7 @@
         Returns
         -------
         tuple of Run and int
-            The run and the offset from which its output is requested.
+            The run and the offset in tokens from which its output is requested.
 
         Raises
         ------
--- a/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_membership.py
@@ -27,14 +27,14 @@
 
 INSTANCE_COUNTS = (9, 50, 150, 390)
 SETTLING_TIME_S = 10.0
-WINDOW_S = 10.0
+MEASURING_TIME_S = 10.0
 NETWORK_DELAY_S = 0.002
 TICK = "tick"
 FLUSH = "flush"
 
 
 class Traffic(NamedTuple):
-    """Messages and bytes that all instances sent, and their processor time."""
+    """Messages and bytes sent, and processor time used, by all instances."""
 
     messages: int
     bytes: int
@@ -68,8 +68,8 @@
         self.processor_s = 0.0
         self._events: list[tuple[float, int, str, Any]] = []
         self._sequence = 0
-        self._flush_at: dict[str, float] = {}
-        self._flushed_at: dict[str, float] = {}
+        self._next_flush_at: dict[str, float] = {}
+        self._last_flush_at: dict[str, float] = {}
         members = [make_member(number) for number in range(count)]
         listed = {member.name: member.control_address for member in members}
         self.members = {member.name: member for member in members}
@@ -110,12 +110,12 @@
     def count_diverging_views(
         self, subjects: set[str], states: Container[MemberState]
     ) -> int:
-        """Return how many running instances have a subject in none of the given states.
+        """Return how many running instances record an unexpected state of a subject.
 
         Parameters
         ----------
         subjects : set of str
-            Names of instances. Views without a record of a subject ignore it.
+            Names of instances. A view ignores a subject that it has no record of.
         states : container of MemberState
             Expected states of the subjects.
         """
@@ -139,8 +139,8 @@
         if event == TICK:
             envelopes = view.tick(self.now)
         elif event == FLUSH:
-            self._flush_at.pop(name)
-            self._flushed_at[name] = self.now
+            self._next_flush_at.pop(name)
+            self._last_flush_at[name] = self.now
             envelopes = view.flush(self.now)
         else:
             envelopes = view.receive(*event, self.now)
@@ -153,11 +153,11 @@
     def _schedule_flush(self, name: str) -> None:
         from ebonyhaven_node._membership import FLUSH_DELAY_S, FLUSH_INTERVAL_S
 
-        if name in self._flush_at:
+        if name in self._next_flush_at:
             return
-        earliest = self._flushed_at.get(name, 0.0) + FLUSH_INTERVAL_S
-        self._flush_at[name] = max(self.now + FLUSH_DELAY_S, earliest)
-        self._schedule(self._flush_at[name], name, FLUSH)
+        earliest = self._last_flush_at.get(name, 0.0) + FLUSH_INTERVAL_S
+        self._next_flush_at[name] = max(self.now + FLUSH_DELAY_S, earliest)
+        self._schedule(self._next_flush_at[name], name, FLUSH)
 
     def _send(self, view: Membership, envelope: Envelope) -> None:
         target = envelope.name or self._find_name(envelope.address)
@@ -205,13 +205,16 @@
 
 
 def measure_membership() -> list[Measurement]:
-    """Measure the traffic and processor time per converged instance and second."""
+    """Measure traffic and processor time (µs) per instance and second.
+
+    The views have converged before the measurement starts.
+    """
     points: dict[str, list[Point]] = {"messages": [], "bytes": [], "cpu": []}
     for count in INSTANCE_COUNTS:
         simulation = MembershipSimulation(count)
         simulation.run(SETTLING_TIME_S)
-        traffic = simulation.run(WINDOW_S)
-        per_instance_second = 1.0 / (count * WINDOW_S)
+        traffic = simulation.run(MEASURING_TIME_S)
+        per_instance_second = 1.0 / (count * MEASURING_TIME_S)
         points["messages"].append(Point(count, traffic.messages * per_instance_second))
         points["bytes"].append(Point(count, traffic.bytes * per_instance_second))
         points["cpu"].append(
--- a/packages/standins/src/ebonyhaven_standins/slopes/_quantities.py
+++ b/packages/standins/src/ebonyhaven_standins/slopes/_quantities.py
@@ -1,4 +1,4 @@
-"""Measured quantities, their units and how their values follow from the points."""
+"""Measured quantities, their units and the derivation of their values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 class Reading(enum.Enum):
-    """Parameter of the fit, or measured point, that is the value of a quantity."""
+    """Derivation of the value of a quantity from its measured points.
+
+    The value is the slope or intercept of a fitted line, the mean of the points, or
+    the value of the last point.
+    """
 
     SLOPE = "slope"
     INTERCEPT = "intercept"
@@ -19,7 +23,7 @@
 
 
 class Quantity(NamedTuple):
-    """A measured quantity.
+    """Definition of a quantity: its names, units and derivation.
 
     Parameters
     ----------
@@ -32,7 +36,7 @@
     size_unit : str
         Unit of the sizes of the points.
     reading : Reading
-        How the value follows from the points.
+        Derivation of the value from the measured points.
     """
 
     key: str
@@ -56,7 +60,7 @@
             return self.fit.slope
         if self.quantity.reading is Reading.LAST:
             return self.points[-1].value
-        return self.fit.intercept
+        return self.fit.intercept  # for `Reading.MEAN`, the mean
 
 
 def _make_quantity(
@@ -119,10 +123,18 @@
         Reading.SLOPE,
     ),
     _make_quantity(
-        "key_memory", "a finished run that is kept", "bytes", "keys", Reading.SLOPE
+        "key_memory",
+        "a finished run that is kept",
+        "bytes",
+        "keys",
+        Reading.SLOPE,
     ),
     _make_quantity(
-        "token_memory", "a kept token of a run", "bytes", "tokens", Reading.SLOPE
+        "token_memory",
+        "a kept token of a run",
+        "bytes",
+        "tokens",
+        Reading.SLOPE,
     ),
     _make_quantity(
         "token_cpu",
@@ -276,7 +288,7 @@
 
 
 def make_measurement(key: str, points: Sequence[Point]) -> Measurement:
-    """Return a measurement with the fit for the quantity's reading.
+    """Return a measurement with a mean or a line fitted to the points.
 
     Parameters
     ----------
